--- a/benchmarks/opaque.py
+++ b/benchmarks/opaque.py
@@ -14,7 +14,7 @@
     MessageReceived,
     TableOffered,
 )
-from shedsill.datagram._forwarding import ForwardingTable, Route, ServiceShare
+from shedsill.datagram._forwarding_table import ForwardingTable, Route, ServiceShare
 from shedsill.datagram._messages import (
     FlowTaken,
     Load,
@@ -22,9 +22,9 @@
     Role,
     UpstreamState,
 )
-from shedsill.datagram._nodes import merge_report
+from shedsill.datagram._failure_detection import merge_report
 from shedsill.datagram._reducer import reduce
-from shedsill.datagram._selection import number_service
+from shedsill.datagram._selection import hash_service
 from shedsill.platform.packets import HeadCodec
 from shedsill.testing.flow_peers import SERVICE_HOST, make_packet
 
@@ -122,7 +122,7 @@
         state=UpstreamState.READY,
     )
     state = AgentState(report=report, seeds=(), flow_lifetime=60.0, stop_limit=5.0)
-    number = number_service(SERVICE)
+    number = hash_service(SERVICE)
     for flow in range(2000):
         packet = CODEC.decode_caller(make_data(flow, 4))
         assert packet is not None
--- a/properties/test_datagram_world.py
+++ b/properties/test_datagram_world.py
@@ -183,7 +183,7 @@
         self.world.run(REST)
         for host in BALANCERS:
             state = self.world.nodes[host]
-            assert not (state.flows or state.searches or state.placing)
+            assert not (state.flows or state.searches or state.pending_flows)
         for host in AGENTS:
             assert not self.world.nodes[host].backlog.held
             assert self.world.nodes[host].working == 0
--- a/shedsill/datagram/_agent_packets.py
+++ b/shedsill/datagram/_agent_packets.py
@@ -39,7 +39,7 @@
     get_copy_delay,
     is_opening,
 )
-from shedsill.datagram._selection import REFUSAL_PAUSE, number_service
+from shedsill.datagram._selection import REFUSAL_BACKOFF_SECONDS, hash_service
 
 MAX_FLOWS = 50_000
 """Flows remembered; far above the connections that one upstream may have."""
@@ -49,7 +49,7 @@
     """Decide whether the upstream gets a packet."""
     packet, now = event.packet, event.now
     state.balancers[event.balancer] = now
-    if event.service != number_service(state.report.service):
+    if event.service != hash_service(state.report.service):
         return return_packet(
             state, packet, event.balancer, ReturnReason.WRONG_SERVICE, now
         )
@@ -224,7 +224,7 @@
         note = Note(event=LogEvent.FLOWS_FREED, fields=fields)
         return [*effects, ResetFlow(packet.flow, flow.caller_ack), note]
     if opening:
-        state.refusing_until = now + REFUSAL_PAUSE
+        state.refusing_until = now + REFUSAL_BACKOFF_SECONDS
     reason = ReturnReason.REFUSED if opening else ReturnReason.NOT_HELD
     balancer = packet.balancer or (flow.balancer if flow else "")
     if not balancer:
--- a/shedsill/datagram/_balancer.py
+++ b/shedsill/datagram/_balancer.py
@@ -10,8 +10,8 @@
 
 from shedsill._catalogue import LogEvent
 from shedsill._shared_effects import Exit, Note
-from shedsill.datagram import _checkpointing, _locating, _nodes, _openings, _roster
-from shedsill.datagram._balancer_state import BalancerState, forward
+from shedsill.datagram import _checkpoint_collection, _flow_search, _failure_detection, _flow_placement, _membership
+from shedsill.datagram._balancer_state import BalancerState, forward_packet
 from shedsill.datagram._effects import (
     Effect,
     RemoveReport,
@@ -26,7 +26,7 @@
     TableOffered,
     Tick,
 )
-from shedsill.datagram._forwarding import is_newer
+from shedsill.datagram._forwarding_table import is_newer
 from shedsill.datagram._messages import (
     Announcement,
     CheckpointPart,
@@ -42,32 +42,32 @@
 from shedsill.datagram._packet import FIN, RST, Packet, is_opening
 from shedsill.datagram._pauses import measure_pause
 
-RESET_MEMORY = 2.0
+RESET_RETENTION_SECONDS = 2.0
 """Seconds for which a reset flow is remembered, so that its packets that are
 still under way are answered in the same way and not searched for again."""
 
-CLOSED_LINGER = 3.0
+CLOSED_FLOW_RETENTION_SECONDS = 3.0
 """Seconds for which a flow is remembered after its caller has closed it; its
 last packets may be sent again."""
 
-STOP_QUIET = 1.0
+STOP_IDLE_SECONDS = 1.0
 """Seconds without packets from callers after which a planned stop ends."""
 
-PEER_INTERVAL = 1.0
+PEER_EXCHANGE_INTERVAL_SECONDS = 1.0
 """Seconds between exchanges of table versions with another balancer."""
 
 REPORTS_PER_MESSAGE = 6
 """Reports in one message; about 170 octets each, so that they fit a packet."""
 
-LOOK_AFTER_FLOWS = 0.25
+FLOW_SWEEP_INTERVAL_SECONDS = 0.25
 """Seconds between looks at which agents hold flows of this balancer."""
 
 
 def start(state: BalancerState, now: float) -> list[Effect]:
     """Tell the seeds of this balancer, and ask them for the nodes they know."""
-    state.started = state.last_tick = state.last_packet = now
-    state.next_introduction = now + _nodes.ASK_INTERVAL
-    state.checkpoints.next_at = now + _checkpointing.INTERVAL
+    state.started_at = state.last_tick_at = state.last_packet_at = now
+    state.next_sync_at = now + _failure_detection.PROBE_INTERVAL_SECONDS
+    state.checkpoints.next_at = now + _checkpoint_collection.CHECKPOINT_INTERVAL_SECONDS
     return [
         SendMessage(seed, Probe(report=state.report))
         for seed in state.seeds
@@ -75,51 +75,51 @@
     ]
 
 
-def take_packet(state: BalancerState, event: CallerPacket) -> list[Effect]:
+def handle_caller_packet(state: BalancerState, event: CallerPacket) -> list[Effect]:
     """Decide where a caller's packet goes."""
     packet = event.packet
-    state.last_packet = event.now
+    state.last_packet_at = event.now
     route = state.table.routes.get(packet.endpoint)
     if route is None:
-        return _refuse_without_route(state, packet)
+        return _handle_unrouted_packet(state, packet)
     flow = state.flows.get(packet.flow)
     if is_opening(packet):
         if flow is None or flow.restored:
-            return _openings.place(state, packet, route, event.now)
-        return _openings.repeat_opening(state, flow, packet, route, event.now)
+            return _flow_placement.place_flow(state, packet, route, event.now)
+        return _flow_placement.handle_repeated_syn(state, flow, packet, route, event.now)
     if flow is None:
-        return _locating.search(state, packet, event.now)
-    flow.seen = event.now
+        return _flow_search.search_flow(state, packet, event.now)
+    flow.last_packet_at = event.now
     flow.restored = False
     flow.caller_ack = packet.ack
     if packet.flags & (FIN | RST):
         flow.closed = True
     if flow.host:
-        return [forward(state, flow.host, flow.service, packet)]
-    return _openings.settle(state, flow, packet)
+        return [forward_packet(state, flow.host, flow.service, packet)]
+    return _flow_placement.assign_flow(state, flow, packet)
 
 
-def _refuse_without_route(state: BalancerState, packet: Packet) -> list[Effect]:
+def _handle_unrouted_packet(state: BalancerState, packet: Packet) -> list[Effect]:
     if state.table.version == 0 or packet.flags & RST:
         return []
     fields = {"flow": packet.flow, "table": state.table.version}
-    if state.ahead and not is_opening(packet):
+    if state.peers_ahead and not is_opening(packet):
         # The newer table may have the route; the caller sends again in 0.2 s.
         return [Note(event=LogEvent.TABLE_AWAITED, fields=fields)]
     state.flows.pop(packet.flow, None)
-    state.placing.pop(packet.flow, None)
+    state.pending_flows.pop(packet.flow, None)
     return [
         ResetFlow(packet.flow, packet.ack),
         Note(event=LogEvent.FLOW_UNROUTED, fields=fields),
     ]
 
 
-def take_drained(state: BalancerState, event: PacketsDrained) -> list[Effect]:
+def handle_packets_drained(state: BalancerState, event: PacketsDrained) -> list[Effect]:
     """Send the questions that came up since the sockets were last drained."""
-    return _locating.send_questions(state)
+    return _flow_search.send_locates(state)
 
 
-def take_message(
+def handle_message(
     state: BalancerState, event: MessageReceived, returned: Packet | None
 ) -> list[Effect]:
     """Take in a message of an agent or another balancer.
@@ -131,43 +131,43 @@
     """
     view = state.nodes.upstreams.get(event.source)
     if view is None or view.silent_since is None:
-        return _take_message(state, event, returned)
+        return _handle_message(state, event, returned)
     before = replace(view)
-    effects = _take_message(state, event, returned)
-    return effects + _roster.note_return(state, before, event.now)
+    effects = _handle_message(state, event, returned)
+    return effects + _membership.handle_returned_agent(state, before, event.now)
 
 
-def _take_message(
+def _handle_message(
     state: BalancerState, event: MessageReceived, returned: Packet | None
 ) -> list[Effect]:
     message, source, now = event.message, event.source, event.now
     match message:
         case Announcement(report=report):
-            return _roster.take_report(state, report, now)
+            return _membership.handle_direct_report(state, report, now)
         case Probe(report=report):
-            effects = _roster.take_report(state, report, now) if report else []
+            effects = _membership.handle_direct_report(state, report, now) if report else []
             return [*effects, *_answer_probe(state, source)]
         case Roster(reports=reports, last=last):
-            effects = _roster.take_reports(state, reports, now)
-            state.introduced = state.introduced or last
+            effects = _membership.handle_indirect_reports(state, reports, now)
+            state.peers_synced = state.peers_synced or last
             return effects
         case FlowTaken():
-            _note_load(state, source, message, now)
-            return _openings.take_taken(state, message, source, now)
+            _record_load(state, source, message, now)
+            return _flow_placement.handle_flow_taken(state, message, source, now)
         case Located():
-            _note_load(state, source, message, now)
-            return _locating.take_located(state, message, source, now)
+            _record_load(state, source, message, now)
+            return _flow_search.handle_located(state, message, source, now)
         case PacketReturned():
-            _note_load(state, source, message, now)
+            _record_load(state, source, message, now)
             assert returned is not None
-            return _take_returned(state, message, returned, source, now)
+            return _handle_packet_returned(state, message, returned, source, now)
         case FlowDenied():
-            _note_load(state, source, message, now)
-            return _take_denied(state, message, source, now)
+            _record_load(state, source, message, now)
+            return _handle_flow_denied(state, message, source, now)
         case CheckpointPart():
-            return _checkpointing.take_part(state, message, source, now)
+            return _checkpoint_collection.handle_checkpoint_part(state, message, source, now)
         case CheckpointTaken():
-            return _checkpointing.take_answer(state, source)
+            return _checkpoint_collection.handle_checkpoint_taken(state, source)
     return []
 
 
@@ -184,7 +184,7 @@
     ]
 
 
-def _note_load(
+def _record_load(
     state: BalancerState,
     source: str,
     message: FlowTaken | Located | PacketReturned | FlowDenied,
@@ -192,10 +192,10 @@
 ) -> None:
     view = state.nodes.upstreams.get(source)
     if view is not None:
-        _nodes.note_load(view, message.load, message.boot, now)
+        _failure_detection.record_load(view, message.load, message.boot, now)
 
 
-def _take_returned(
+def _handle_packet_returned(
     state: BalancerState,
     returned: PacketReturned,
     packet: Packet,
@@ -209,10 +209,10 @@
     }
     note = Note(event=LogEvent.PACKET_RETURNED, fields=fields)
     reason = returned.reason
-    return [note, *_openings.offer_elsewhere(state, packet, source, reason, now)]
+    return [note, *_flow_placement.handle_returned_syn(state, packet, source, reason, now)]
 
 
-def _take_denied(
+def _handle_flow_denied(
     state: BalancerState, denied: FlowDenied, source: str, now: float
 ) -> list[Effect]:
     """Correct what this balancer believed of a flow, and look for it."""
@@ -220,7 +220,7 @@
     if flow is not None and source in flow.offered:
         del flow.offered[source]
     if flow is None:
-        return _locating.take_denial(state, denied.flow, source)
+        return _flow_search.handle_search_denial(state, denied.flow, source)
     if flow.host != source and (flow.host or flow.offered):
         return []
     fields = {
@@ -230,12 +230,12 @@
     }
     note = Note(event=LogEvent.FLOW_DENIED, fields=fields)
     del state.flows[denied.flow]
-    state.placing.pop(denied.flow, None)
+    state.pending_flows.pop(denied.flow, None)
     ack = flow.caller_ack
-    return [note, *_locating.search_again(state, denied.flow, source, ack, now)]
+    return [note, *_flow_search.restart_search(state, denied.flow, source, ack, now)]
 
 
-def take_table(state: BalancerState, event: TableOffered) -> list[Effect]:
+def handle_table(state: BalancerState, event: TableOffered) -> list[Effect]:
     """Put a newer table in force, and tell the other balancers."""
     if not is_newer(event.table, state.table):
         return []
@@ -246,7 +246,7 @@
         "source": event.source,
     }
     state.table = event.table
-    state.ahead.clear()
+    state.peers_ahead.clear()
     state.report = replace(
         state.report, version=event.table.version, serial=state.report.serial + 1
     )
@@ -256,58 +256,58 @@
     return [note, *(SendMessage(host, announcement) for host in hosts)]
 
 
-def take_tick(state: BalancerState, event: Tick) -> list[Effect]:
+def handle_tick(state: BalancerState, event: Tick) -> list[Effect]:
     """Do what has become due."""
     now = event.now
-    pause = measure_pause(state.last_tick, now)
-    state.last_tick = now
+    pause = measure_pause(state.last_tick_at, now)
+    state.last_tick_at = now
     if pause:
-        _nodes.shift_silences(state.nodes.upstreams.values(), pause)
-    effects = _openings.offer_again(state, now)
-    effects += _locating.ask_searched(state, now)
-    effects += _look_after_flows(state, now)
-    effects += _roster.ask_silent(state, now)
-    effects += _roster.introduce(state, now)
-    effects += _roster.pull_table(state, now)
-    effects += _roster.forget_lost(state, now)
+        _failure_detection.shift_silence_timers(state.nodes.upstreams.values(), pause)
+    effects = _flow_placement.handle_offer_timeouts(state, now)
+    effects += _flow_search.handle_search_timeouts(state, now)
+    effects += _sweep_flows(state, now)
+    effects += _membership.probe_agents(state, now)
+    effects += _membership.synchronize_peers(state, now)
+    effects += _membership.pull_table(state, now)
+    effects += _membership.remove_lost_agents(state, now)
     effects += _exchange_with_peers(state, now)
-    effects += _checkpointing.take_tick(state, now)
+    effects += _checkpoint_collection.handle_tick(state, now)
     effects += _finish_stop(state, now)
     return effects
 
 
-def _look_after_flows(state: BalancerState, now: float) -> list[Effect]:
+def _sweep_flows(state: BalancerState, now: float) -> list[Effect]:
     """Forget flows that have rested for too long; note who holds the others.
 
     The holders of doubted flows are asked again until they answer.
     """
-    if now < state.next_look:
+    if now < state.next_flow_sweep_at:
         return []
-    state.next_look = now + LOOK_AFTER_FLOWS
+    state.next_flow_sweep_at = now + FLOW_SWEEP_INTERVAL_SECONDS
     limit = min(state.table.idle_timeout, state.flow_lifetime)
     holding: set[str] = set()
     for key, flow in list(state.flows.items()):
-        rest = now - flow.seen
-        if rest > limit or (flow.closed and rest > CLOSED_LINGER):
+        rest = now - flow.last_packet_at
+        if rest > limit or (flow.closed and rest > CLOSED_FLOW_RETENTION_SECONDS):
             del state.flows[key]
-            state.placing.pop(key, None)
+            state.pending_flows.pop(key, None)
             continue
-        if flow.doubted:
-            _locating.ask_holder(state, key, flow)
+        if flow.unverified:
+            _flow_search.verify_flow(state, key, flow)
         if flow.host and not flow.closed:
             holding.add(flow.host)
-    state.holding_hosts = holding
+    state.hosts_with_flows = holding
     for key, at in list(state.resets.items()):
-        if now - at > RESET_MEMORY:
+        if now - at > RESET_RETENTION_SECONDS:
             del state.resets[key]
     return []
 
 
 def _exchange_with_peers(state: BalancerState, now: float) -> list[Effect]:
     """Tell one other balancer the version in force, in case news was lost."""
-    if now < state.next_peer_exchange:
+    if now < state.next_peer_exchange_at:
         return []
-    state.next_peer_exchange = now + PEER_INTERVAL
+    state.next_peer_exchange_at = now + PEER_EXCHANGE_INTERVAL_SECONDS
     hosts = sorted(state.nodes.balancers) or [
         seed for seed in state.seeds if seed != state.report.host
     ]
@@ -318,12 +318,12 @@
     return [SendMessage(host, Announcement(report=state.report))]
 
 
-def take_stop(state: BalancerState, event: StopRequested) -> list[Effect]:
+def handle_stop(state: BalancerState, event: StopRequested) -> list[Effect]:
     """Begin a planned stop: not ready any more, but packets still move."""
     if state.stop_at is not None:
         return []
     state.stop_at = event.now + state.stop_limit
-    state.last_packet = event.now
+    state.last_packet_at = event.now
     state.report = replace(state.report, stopping=True, serial=state.report.serial + 1)
     announcement = Announcement(report=state.report)
     return [
@@ -336,7 +336,7 @@
 def _finish_stop(state: BalancerState, now: float) -> list[Effect]:
     if state.stop_at is None:
         return []
-    quiet = now - state.last_packet >= STOP_QUIET
+    quiet = now - state.last_packet_at >= STOP_IDLE_SECONDS
     if not quiet and now < state.stop_at:
         return []
     return [Note(event=LogEvent.NODE_STOPPED), Exit()]
--- a/shedsill/datagram/_checkpointing.py
+++ b/shedsill/datagram/_checkpoint_collection.py
@@ -16,7 +16,7 @@
 
 from shedsill._catalogue import LogEvent
 from shedsill._shared_effects import Note
-from shedsill.datagram import _locating
+from shedsill.datagram import _flow_search
 from shedsill.datagram._balancer_state import BalancerFlow, BalancerState
 from shedsill.datagram._checkpoints import Checkpoints, Part
 from shedsill.datagram._effects import Effect, SendMessage, StoreCheckpoint
@@ -29,38 +29,38 @@
 )
 from shedsill.datagram._packet import SEQUENCE_SPACE, measure_advance
 
-INTERVAL = 2.0
+CHECKPOINT_INTERVAL_SECONDS = 2.0
 """Seconds between checkpoints.  Each one is one call of the store for the whole
 deployment; flows opened since the last one are not in it."""
 
-SETTLED_AFTER = 0.5
+MIN_FLOW_DURATION_SECONDS = 0.5
 """Seconds for which a caller has used a flow before it is kept: those of a single
 request are over by then, and cost no write."""
 
-ACTIVE_WITHIN = 10.0
+MAX_FLOW_IDLE_SECONDS = 10.0
 """Seconds within which a caller has sent a packet on a flow that is kept.  Callers of
 long flows pause for some seconds, and one that asks again in the dark on a flow that
 has ended is as badly off as one whose request was at work."""
 
-PART_LIFETIME = 10.0
+PART_LIFETIME_SECONDS = 10.0
 """Seconds for which the collector keeps what a balancer has told: long enough for that
 balancer to lose its power, start and read it."""
 
-MAX_AGE = 30.0
+MAX_CHECKPOINT_AGE_SECONDS = 30.0
 """Seconds after which a checkpoint is not used any more: half of the 60 s in which a
 caller's end does not use the same address and port again for the same endpoint, so
 that no flow but the one meant can be reset."""
 
-COLLECTOR_TRIES = 2
+MAX_UNANSWERED_PARTS = 2
 """Parts in a row that a collector may leave unanswered; datagrams may be lost."""
 
-SILENT_COLLECTOR = 30.0
+SILENT_COLLECTOR_BACKOFF_SECONDS = 30.0
 """Seconds for which a balancer that did not answer is not chosen as collector."""
 
 FLOWS_PER_MESSAGE = 18
 """Flows in one message; up to 64 octets each, so that they fit a packet."""
 
-MAX_FLOWS = 4000
+MAX_CHECKPOINT_FLOWS = 4000
 """Flows in one checkpoint, of each balancer the latest ones; about 110 octets each in
 the store, whose values may be of 1 MB."""
 
@@ -83,39 +83,39 @@
     return choose_collector(state, now) == state.report.host
 
 
-def take_tick(state: BalancerState, now: float) -> list[Effect]:
+def handle_tick(state: BalancerState, now: float) -> list[Effect]:
     """Tell the collector of the open flows, or store what it was told."""
     checkpoints = state.checkpoints
     if now < checkpoints.next_at:
         return []
-    checkpoints.next_at = now + INTERVAL
+    checkpoints.next_at = now + CHECKPOINT_INTERVAL_SECONDS
     checkpoints.number += 1
-    _judge_collector(checkpoints, now)
-    flows = _list_open(state, now)
+    _update_collector_backoff(checkpoints, now)
+    flows = _list_open_flows(state, now)
     collector = choose_collector(state, now)
     if collector != checkpoints.collector:
         checkpoints.collector = collector
         checkpoints.unanswered = 0
     if collector == state.report.host:
         checkpoints.parts[collector] = Part(checkpoints.number, now, flows)
-        return _store(checkpoints, now)
+        return _store_checkpoint(checkpoints, now)
     checkpoints.unanswered += 1
-    return _send(collector, checkpoints.number, flows)
+    return _send_part(collector, checkpoints.number, flows)
 
 
-def _judge_collector(checkpoints: Checkpoints, now: float) -> None:
-    if checkpoints.unanswered >= COLLECTOR_TRIES:
-        checkpoints.silent_until[checkpoints.collector] = now + SILENT_COLLECTOR
+def _update_collector_backoff(checkpoints: Checkpoints, now: float) -> None:
+    if checkpoints.unanswered >= MAX_UNANSWERED_PARTS:
+        checkpoints.silent_until[checkpoints.collector] = now + SILENT_COLLECTOR_BACKOFF_SECONDS
 
 
-def _send(collector: str, number: int, flows: list[OpenFlow]) -> list[Effect]:
+def _send_part(collector: str, number: int, flows: list[OpenFlow]) -> list[Effect]:
     return [
         SendMessage(collector, CheckpointPart(number=number, flows=part))
         for part in split(flows, FLOWS_PER_MESSAGE)
     ]
 
 
-def _list_open(state: BalancerState, now: float) -> list[OpenFlow]:
+def _list_open_flows(state: BalancerState, now: float) -> list[OpenFlow]:
     """Return the flows whose callers may be waiting for an answer."""
     kept = [
         (key, flow)
@@ -123,12 +123,12 @@
         if flow.host
         and flow.boot
         and not flow.closed
-        and flow.seen - flow.begun >= SETTLED_AFTER
-        and now - flow.seen <= ACTIVE_WITHIN
+        and flow.last_packet_at - flow.started_at >= MIN_FLOW_DURATION_SECONDS
+        and now - flow.last_packet_at <= MAX_FLOW_IDLE_SECONDS
     ]
-    if len(kept) > MAX_FLOWS:
-        kept.sort(key=lambda entry: entry[1].seen)
-        del kept[:-MAX_FLOWS]
+    if len(kept) > MAX_CHECKPOINT_FLOWS:
+        kept.sort(key=lambda entry: entry[1].last_packet_at)
+        del kept[:-MAX_CHECKPOINT_FLOWS]
     return [
         OpenFlow(
             flow=key,
@@ -141,19 +141,19 @@
     ]
 
 
-def _store(checkpoints: Checkpoints, now: float) -> list[Effect]:
+def _store_checkpoint(checkpoints: Checkpoints, now: float) -> list[Effect]:
     parts = checkpoints.parts
     for host, part in list(parts.items()):
-        if now - part.taken_at > PART_LIFETIME:
+        if now - part.taken_at > PART_LIFETIME_SECONDS:
             del parts[host]
-    value = _list_latest(parts)
+    value = _merge_parts(parts)
     if value == checkpoints.stored:
         return []
     checkpoints.stored = value
     return [StoreCheckpoint(value)]
 
 
-def _list_latest(parts: dict[str, Part]) -> dict[str, list[OpenFlow]]:
+def _merge_parts(parts: dict[str, Part]) -> dict[str, list[OpenFlow]]:
     """Return each flow once, from the balancer that has seen most of it.
 
     After a change of the routers the one before still remembers it, but does not know
@@ -166,7 +166,7 @@
             if known is None or _is_ahead(flow, known[1]):
                 latest[flow.flow] = host, flow
     value: dict[str, list[OpenFlow]] = {}
-    for host, flow in list(latest.values())[:MAX_FLOWS]:
+    for host, flow in list(latest.values())[:MAX_CHECKPOINT_FLOWS]:
         value.setdefault(host, []).append(flow)
     return value
 
@@ -176,7 +176,7 @@
     return 0 < advance < SEQUENCE_SPACE // 2
 
 
-def take_part(
+def handle_checkpoint_part(
     state: BalancerState, message: CheckpointPart, source: str, now: float
 ) -> list[Effect]:
     """Take in what another balancer tells its collector."""
@@ -184,11 +184,11 @@
     part = parts.get(source)
     if part is None or part.number != message.number:
         part = parts[source] = Part(message.number, now)
-    part.flows += message.flows[: MAX_FLOWS - len(part.flows)]
+    part.flows += message.flows[: MAX_CHECKPOINT_FLOWS - len(part.flows)]
     return [SendMessage(source, CheckpointTaken())]
 
 
-def take_answer(state: BalancerState, source: str) -> list[Effect]:
+def handle_checkpoint_taken(state: BalancerState, source: str) -> list[Effect]:
     """Note that the collector is there."""
     state.checkpoints.silent_until.pop(source, None)
     if source == state.checkpoints.collector:
@@ -196,9 +196,9 @@
     return []
 
 
-def take_checkpoint(state: BalancerState, event: CheckpointRead) -> list[Effect]:
+def handle_checkpoint_read(state: BalancerState, event: CheckpointRead) -> list[Effect]:
     """Keep what others have told; doubt the flows of this balancer's last run."""
-    if event.age > MAX_AGE:
+    if event.age > MAX_CHECKPOINT_AGE_SECONDS:
         return []
     for host, flows in event.parts.items():
         if host not in state.checkpoints.parts:
@@ -208,28 +208,28 @@
     restored = [
         flow
         for flow in event.parts.get(state.report.host, [])
-        if _restore(state, flow, event.now)
+        if _restore_flow(state, flow, event.now)
     ]
     fields = {"flows": len(restored), "age": round(event.age, 1)}
     return [Note(event=LogEvent.CHECKPOINT_READ, fields=fields)]
 
 
-def _restore(state: BalancerState, kept: OpenFlow, now: float) -> bool:
+def _restore_flow(state: BalancerState, kept: OpenFlow, now: float) -> bool:
     """Have the agent of a flow asked for it, unless something newer is known."""
     key = kept.flow
     if key in state.flows or key in state.searches or key in state.resets:
         return False
     flow = BalancerFlow(
         service=kept.service,
-        seen=now,
-        begun=now,
+        last_packet_at=now,
+        started_at=now,
         host=kept.host,
         boot=kept.boot,
         caller_ack=kept.caller_ack,
-        doubted=True,
+        unverified=True,
         restored=True,
     )
     state.flows[key] = flow
-    state.holding_hosts.add(kept.host)
-    _locating.ask_holder(state, key, flow)
+    state.hosts_with_flows.add(kept.host)
+    _flow_search.verify_flow(state, key, flow)
     return True
--- a/shedsill/datagram/_checkpoints.py
+++ b/shedsill/datagram/_checkpoints.py
@@ -1,4 +1,4 @@
-"""What a balancer keeps for checkpoints of open flows; see `_checkpointing`."""
+"""What a balancer keeps for checkpoints of open flows; see `_checkpoint_collection`."""
 
 from __future__ import annotations
 
--- a/shedsill/datagram/_effects.py
+++ b/shedsill/datagram/_effects.py
@@ -5,7 +5,7 @@
 from msgspec import Struct
 
 from shedsill._shared_effects import Exit, Note
-from shedsill.datagram._forwarding import Route
+from shedsill.datagram._forwarding_table import Route
 from shedsill.datagram._messages import Message, NodeReport, OpenFlow
 from shedsill.datagram._packet import Packet
 
@@ -16,7 +16,7 @@
     Attributes
     ----------
     service : int
-        Number of the service that is meant, see `number_service`.
+        Number of the service that is meant, see `hash_service`.
     route : Route or None
         What the operator declared for the flow; None where it is not known.
     """
--- a/shedsill/datagram/_events.py
+++ b/shedsill/datagram/_events.py
@@ -7,7 +7,7 @@
 
 from msgspec import Struct
 
-from shedsill.datagram._forwarding import ForwardingTable
+from shedsill.datagram._forwarding_table import ForwardingTable
 from shedsill.datagram._messages import (
     Message,
     NodeReport,
@@ -42,7 +42,7 @@
     Attributes
     ----------
     service : int
-        Number of the service that the balancer meant, see `number_service`.
+        Number of the service that the balancer meant, see `hash_service`.
     """
 
     packet: Packet
--- a/shedsill/datagram/_locating.py
+++ b/shedsill/datagram/_flow_search.py
@@ -12,25 +12,25 @@
 
 from shedsill._catalogue import LogEvent
 from shedsill._shared_effects import Note
-from shedsill.datagram import _nodes, _reading, _searches
+from shedsill.datagram import _failure_detection, _report_polling, _search_state
 from shedsill.datagram._balancer_state import (
     BalancerFlow,
     BalancerState,
-    forward,
+    forward_packet,
     reset_flows,
 )
 from shedsill.datagram._effects import Effect, ResetFlow, SendMessage
 from shedsill.datagram._messages import Locate, Located, NodeReport, split
 from shedsill.datagram._packet import RST, Packet
-from shedsill.datagram._searches import Phase, Search
-from shedsill.datagram._selection import prefer_hosts
+from shedsill.datagram._search_state import SearchPhase, Search
+from shedsill.datagram._selection import list_preferred_hosts
 
-FLOWS_PER_QUESTION = 80
+FLOWS_PER_LOCATE = 80
 """Flows in one message; 14 octets each, so that question and answer fit a packet of
 1,200 octets however many flows are searched for after a restart."""
 
 
-def search(state: BalancerState, packet: Packet, now: float) -> list[Effect]:
+def search_flow(state: BalancerState, packet: Packet, now: float) -> list[Effect]:
     """Hold a packet of an unknown flow, and ask for the flow."""
     if packet.flags & RST:
         return []
@@ -38,92 +38,92 @@
         return [ResetFlow(packet.flow, packet.ack)]
     search = state.searches.get(packet.flow)
     if search is None:
-        if len(state.searches) >= _searches.MAX_SEARCHES:
+        if len(state.searches) >= _search_state.MAX_SEARCHES:
             return [Note(event=LogEvent.SEARCH_DROPPED, fields={"flow": packet.flow})]
-        search = _begin(state, packet.flow, packet.ack, now)
+        search = _start_search(state, packet.flow, packet.ack, now)
         search.packets.append(packet)
         return []
-    _searches.hold_packet(search, packet, now)
-    if _searches.is_due(search, now):
-        return _ask_again(state, packet.flow, search, now)
-    return conclude(state, packet.flow, search)
+    _search_state.buffer_packet(search, packet, now)
+    if _search_state.is_retry_due(search, now):
+        return _retry_search(state, packet.flow, search, now)
+    return conclude_search(state, packet.flow, search)
 
 
-def _list_answering(state: BalancerState) -> list[str]:
+def _list_live_hosts(state: BalancerState) -> list[str]:
     return [host for host, view in state.nodes.upstreams.items() if not view.lost]
 
 
-def _begin(
-    state: BalancerState, flow: bytes, caller_ack: int, now: float, without: str = ""
+def _start_search(
+    state: BalancerState, flow: bytes, caller_ack: int, now: float, excluded: str = ""
 ) -> Search:
     """Begin to look for a flow, near agents first; octets between zones are dear."""
     views = state.nodes.upstreams
-    hosts = [host for host in _list_answering(state) if host != without]
+    hosts = [host for host in _list_live_hosts(state) if host != excluded]
     near = [h for h in hosts if views[h].report.zone == state.report.zone]
     first = near or hosts
     later = set(hosts).difference(first)
-    search = _searches.begin_search(caller_ack, first, later, now)
+    search = _search_state.create_search(caller_ack, first, later, now)
     state.searches[flow] = search
-    _ask(state, flow, first)
+    _queue_locate(state, flow, first)
     return search
 
 
-def _ask(state: BalancerState, flow: bytes, hosts: Iterable[str]) -> None:
+def _queue_locate(state: BalancerState, flow: bytes, hosts: Iterable[str]) -> None:
     for host in hosts:
-        state.to_locate.setdefault(host, []).append(flow)
+        state.pending_locates.setdefault(host, []).append(flow)
 
 
-def _ask_again(
+def _retry_search(
     state: BalancerState, flow: bytes, search: Search, now: float
 ) -> list[Effect]:
-    _suspect_silent(state, search, now)
-    search.asked = now
-    if search.phase == Phase.TRYING and search.waiting:
-        return _try_packet(state, search)
-    if _searches.is_denied(search):
-        if _reading.is_wanted(state.reading):
-            return conclude(state, flow, search)
-        search.waiting = set(_list_answering(state))
-    search.waiting |= search.later
-    search.later = set()
-    _ask(state, flow, search.waiting)
-    return conclude(state, flow, search)
-
-
-def _suspect_silent(state: BalancerState, search: Search, now: float) -> None:
+    _mark_silent_suspect(state, search, now)
+    search.asked_at = now
+    if search.phase == SearchPhase.TRYING and search.pending_hosts:
+        return _forward_trial_packet(state, search)
+    if _search_state.is_denied(search):
+        if _report_polling.is_read_pending(state.polling):
+            return conclude_search(state, flow, search)
+        search.pending_hosts = set(_list_live_hosts(state))
+    search.pending_hosts |= search.deferred_hosts
+    search.deferred_hosts = set()
+    _queue_locate(state, flow, search.pending_hosts)
+    return conclude_search(state, flow, search)
+
+
+def _mark_silent_suspect(state: BalancerState, search: Search, now: float) -> None:
     """Have agents that left a search unanswered asked whether they are alive.
 
     Otherwise one that is gone, and that nothing else here depends on, would hold every
     search up until callers give up.
     """
-    for host in search.waiting:
+    for host in search.pending_hosts:
         view = state.nodes.upstreams.get(host)
-        if view is not None and not view.lost and view.heard < search.asked:
-            _nodes.suspect(view, now)
+        if view is not None and not view.lost and view.last_heard_at < search.asked_at:
+            _failure_detection.mark_suspect(view, now)
 
 
-def take_located(
+def handle_located(
     state: BalancerState, located: Located, host: str, now: float
 ) -> list[Effect]:
     """Take in what an agent says of the flows that it was asked for."""
-    effects = _settle_doubts(state, located, host)
+    effects = _resolve_unverified(state, located, host)
     for flow in located.held:
-        effects += _found(state, flow, host, located.boot, now)
+        effects += _handle_found_flow(state, flow, host, located.boot, now)
     for flow in located.unknown:
         search = state.searches.get(flow)
-        if search is not None and host in search.waiting:
-            search.waiting.discard(host)
-            effects += conclude(state, flow, search)
+        if search is not None and host in search.pending_hosts:
+            search.pending_hosts.discard(host)
+            effects += conclude_search(state, flow, search)
     for flow in located.unsure:
         search = state.searches.get(flow)
-        if search is not None and host in search.waiting:
-            search.waiting.discard(host)
-            search.unsure.add(host)
-            effects += conclude(state, flow, search)
+        if search is not None and host in search.pending_hosts:
+            search.pending_hosts.discard(host)
+            search.unsure_hosts.add(host)
+            effects += conclude_search(state, flow, search)
     return effects
 
 
-def doubt_flows(state: BalancerState, report: NodeReport) -> None:
+def verify_earlier_boot_flows(state: BalancerState, report: NodeReport) -> None:
     """Ask an agent for the flows that it named under another run of its upstream.
 
     They died with that run, unless the new run took them before its agent knew of it.
@@ -132,16 +132,16 @@
     """
     for key, flow in state.flows.items():
         if flow.host == report.host and flow.boot not in ("", report.boot):
-            flow.doubted = True
-            ask_holder(state, key, flow)
+            flow.unverified = True
+            verify_flow(state, key, flow)
 
 
-def ask_holder(state: BalancerState, key: bytes, flow: BalancerFlow) -> None:
+def verify_flow(state: BalancerState, key: bytes, flow: BalancerFlow) -> None:
     """Ask the agent that held a flow whether it holds it still."""
-    _ask(state, key, (flow.host,))
+    _queue_locate(state, key, (flow.host,))
 
 
-def _settle_doubts(state: BalancerState, located: Located, host: str) -> list[Effect]:
+def _resolve_unverified(state: BalancerState, located: Located, host: str) -> list[Effect]:
     """Reset the doubted flows that their agent does not hold; keep the others.
 
     No other agent can hold them: a flow stays where it was opened.
@@ -149,21 +149,21 @@
     for key in (*located.held, *located.unsure):
         flow = state.flows.get(key)
         if flow is not None and flow.host == host:
-            flow.doubted = False
+            flow.unverified = False
             # An agent that has just started may not know its upstream's run yet.
             flow.boot = located.boot or flow.boot
     # A flow that was asked for twice is named twice.
     unknown = dict.fromkeys(located.unknown)
-    dead = [key for key in unknown if _is_doubted(state, key, host)]
+    dead = [key for key in unknown if _is_unverified(state, key, host)]
     return reset_flows(state, dead, host, "upstream restarted")
 
 
-def _is_doubted(state: BalancerState, key: bytes, host: str) -> bool:
+def _is_unverified(state: BalancerState, key: bytes, host: str) -> bool:
     flow = state.flows.get(key)
-    return flow is not None and flow.doubted and flow.host == host
+    return flow is not None and flow.unverified and flow.host == host
 
 
-def _found(
+def _handle_found_flow(
     state: BalancerState, flow: bytes, host: str, boot: str, now: float
 ) -> list[Effect]:
     view = state.nodes.upstreams.get(host)
@@ -171,46 +171,46 @@
     if view is None or search is None:
         return []
     service = view.report.service
-    known = BalancerFlow(service=service, seen=now, begun=now, host=host, boot=boot)
+    known = BalancerFlow(service=service, last_packet_at=now, started_at=now, host=host, boot=boot)
     state.flows[flow] = known
-    state.holding_hosts.add(host)
+    state.hosts_with_flows.add(host)
     fields = {
         "flow": flow,
         "upstream": host,
-        "after": round(now - search.begun, 3),
-        "tried": search.tried,
+        "after": round(now - search.started_at, 3),
+        "tried": search.tried_count,
     }
     effects: list[Effect] = [Note(event=LogEvent.FLOW_FOUND, fields=fields)]
     for packet in search.packets:
         known.caller_ack = packet.ack
-        effects.append(forward(state, host, known.service, packet))
+        effects.append(forward_packet(state, host, known.service, packet))
     return effects
 
 
-def conclude(state: BalancerState, flow: bytes, search: Search) -> list[Effect]:
+def conclude_search(state: BalancerState, flow: bytes, search: Search) -> list[Effect]:
     """Act on a search whose open questions are answered."""
-    if search.waiting:
+    if search.pending_hosts:
         return []
-    if search.later:
-        search.waiting, search.later = search.later, set()
-        _ask(state, flow, search.waiting)
+    if search.deferred_hosts:
+        search.pending_hosts, search.deferred_hosts = search.deferred_hosts, set()
+        _queue_locate(state, flow, search.pending_hosts)
         return []
-    if search.unsure:
-        return _try_next(state, flow, search)
-    if not _knows_all(state, search.seen):
+    if search.unsure_hosts:
+        return _try_next_hosts(state, flow, search)
+    if not _knows_all_agents(state, search.last_packet_at):
         return []
-    if not _reading.is_recent(state.reading, state.last_tick):
-        return _reading.want(state.reading, state.last_tick)
+    if not _report_polling.is_recent(state.polling, state.last_tick_at):
+        return _report_polling.request_read(state.polling, state.last_tick_at)
     del state.searches[flow]
-    state.resets[flow] = search.seen
+    state.resets[flow] = search.last_packet_at
     views = state.nodes.upstreams.values()
     fields = {
         "flow": flow,
         "asked": len(views),
-        "tried": search.tried,
-        "after": round(search.seen - search.begun, 3),
+        "tried": search.tried_count,
+        "after": round(search.last_packet_at - search.started_at, 3),
         "given_up": sum(view.lost for view in views),
-        "introduced": state.introduced,
+        "introduced": state.peers_synced,
     }
     return [
         ResetFlow(flow, search.caller_ack),
@@ -218,16 +218,16 @@
     ]
 
 
-def conclude_denied(state: BalancerState) -> list[Effect]:
+def conclude_denied_searches(state: BalancerState) -> list[Effect]:
     """Act on searches that were waiting for a recent list of agents."""
     effects: list[Effect] = []
     for key, search in list(state.searches.items()):
-        if _searches.is_denied(search):
-            effects += conclude(state, key, search)
+        if _search_state.is_denied(search):
+            effects += conclude_search(state, key, search)
     return effects
 
 
-def _try_next(state: BalancerState, flow: bytes, search: Search) -> list[Effect]:
+def _try_next_hosts(state: BalancerState, flow: bytes, search: Search) -> list[Effect]:
     """Try the flow's smallest packet on the unsure agents likeliest to hold it.
 
     First on the few where the flow was placed if load allowed, then on the others
@@ -239,18 +239,18 @@
     zone = state.report.zone
     reports = [v.report for v in views.values()]
     near = {report.host for report in reports if report.zone == zone}
-    likely = prefer_hosts(_list_likely(state, search), zone=zone, flow=flow)
-    for hosts in (likely, near, search.unsure):
-        search.waiting = search.unsure.intersection(hosts)
-        if search.waiting:
+    likely = list_preferred_hosts(_list_route_reports(state, search), zone=zone, flow=flow)
+    for hosts in (likely, near, search.unsure_hosts):
+        search.pending_hosts = search.unsure_hosts.intersection(hosts)
+        if search.pending_hosts:
             break
-    search.unsure -= search.waiting
-    search.tried += len(search.waiting)
-    search.phase = Phase.TRYING
-    return _try_packet(state, search)
+    search.unsure_hosts -= search.pending_hosts
+    search.tried_count += len(search.pending_hosts)
+    search.phase = SearchPhase.TRYING
+    return _forward_trial_packet(state, search)
 
 
-def _list_likely(state: BalancerState, search: Search) -> list[NodeReport]:
+def _list_route_reports(state: BalancerState, search: Search) -> list[NodeReport]:
     """Return the reports of agents whose service the flow's endpoint leads to."""
     route = state.table.routes.get(search.packets[0].endpoint)
     services = {share.service for share in route.shares} if route else set()
@@ -258,91 +258,91 @@
     return [report for report in reports if report.service in services]
 
 
-def _knows_all(state: BalancerState, now: float) -> bool:
+def _knows_all_agents(state: BalancerState, now: float) -> bool:
     """Whether no agent is likely to be missing among those that were asked."""
     nodes = state.nodes
-    if not nodes.upstreams or not (nodes.listed or state.introduced):
+    if not nodes.upstreams or not (nodes.store_listed or state.peers_synced):
         return False
     alone = not nodes.balancers
-    late = now - state.started > _nodes.INTRODUCTION_LIMIT
-    return state.introduced or alone or late
+    late = now - state.started_at > _failure_detection.SYNC_TIMEOUT_SECONDS
+    return state.peers_synced or alone or late
 
 
-def _try_packet(state: BalancerState, search: Search) -> list[Effect]:
+def _forward_trial_packet(state: BalancerState, search: Search) -> list[Effect]:
     """Give the smallest packet to upstreams; those without the flow bounce it."""
     packet = min(search.packets, key=lambda held: len(held.data))
     effects: list[Effect] = []
-    for host in search.waiting:
+    for host in search.pending_hosts:
         view = state.nodes.upstreams.get(host)
         if view is not None:
-            effects.append(forward(state, host, view.report.service, packet))
+            effects.append(forward_packet(state, host, view.report.service, packet))
     return effects
 
 
-def take_denial(state: BalancerState, flow: bytes, source: str) -> list[Effect]:
+def handle_search_denial(state: BalancerState, flow: bytes, source: str) -> list[Effect]:
     """Note that an upstream does not hold a flow that is searched for."""
     search = state.searches.get(flow)
     if search is None:
         return []
-    search.waiting.discard(source)
-    search.unsure.discard(source)
-    search.later.discard(source)
-    return conclude(state, flow, search)
+    search.pending_hosts.discard(source)
+    search.unsure_hosts.discard(source)
+    search.deferred_hosts.discard(source)
+    return conclude_search(state, flow, search)
 
 
-def search_again(
+def restart_search(
     state: BalancerState, flow: bytes, source: str, caller_ack: int, now: float
 ) -> list[Effect]:
     """Look for a flow that the agent named here does not hold any more."""
-    if flow in state.resets or len(state.searches) >= _searches.MAX_SEARCHES:
+    if flow in state.resets or len(state.searches) >= _search_state.MAX_SEARCHES:
         return []
-    search = _begin(state, flow, caller_ack, now, without=source)
-    return conclude(state, flow, search)
+    search = _start_search(state, flow, caller_ack, now, excluded=source)
+    return conclude_search(state, flow, search)
 
 
-def ask_searched(state: BalancerState, now: float) -> list[Effect]:
+def handle_search_timeouts(state: BalancerState, now: float) -> list[Effect]:
     """Ask again for flows not found in time; end searches that nobody needs."""
     effects: list[Effect] = []
     for key, search in list(state.searches.items()):
-        if _searches.is_over(search, now):
+        if _search_state.is_abandoned(search, now):
             del state.searches[key]
             fields = {
                 "flow": key,
-                "silent": sorted(search.waiting)[:4],
+                "silent": sorted(search.pending_hosts)[:4],
                 "known": len(state.nodes.upstreams),
             }
             effects.append(Note(event=LogEvent.SEARCH_ENDED, fields=fields))
-        elif _searches.is_due(search, now):
-            effects += _ask_again(state, key, search, now)
-    return effects + send_questions(state)
+        elif _search_state.is_retry_due(search, now):
+            effects += _retry_search(state, key, search, now)
+    return effects + send_locates(state)
 
 
-def send_questions(state: BalancerState) -> list[Effect]:
+def send_locates(state: BalancerState) -> list[Effect]:
     """Send the questions that came up since the sockets were last drained."""
-    if not state.to_locate:
+    if not state.pending_locates:
         return []
-    asked = {host: [*dict.fromkeys(f)] for host, f in state.to_locate.items()}
-    state.to_locate = {}
+    asked = {host: [*dict.fromkeys(f)] for host, f in state.pending_locates.items()}
+    state.pending_locates = {}
     return [
         SendMessage(host, Locate(flows=part))
         for host, flows in asked.items()
-        for part in split(flows, FLOWS_PER_QUESTION)
+        for part in split(flows, FLOWS_PER_LOCATE)
     ]
 
 
-def add_host(state: BalancerState, host: str) -> None:
+def add_host_to_searches(state: BalancerState, host: str) -> None:
     """Ask an agent that has just become known for the flows searched for."""
     for key, search in state.searches.items():
-        search.waiting.add(host)
-        _ask(state, key, (host,))
+        search.pending_hosts.add(host)
+        _queue_locate(state, key, (host,))
 
 
-def drop_host(state: BalancerState, host: str) -> list[Effect]:
+def remove_host_from_searches(state: BalancerState, host: str) -> list[Effect]:
     """Wait no longer for an agent's answers."""
     effects: list[Effect] = []
     for key, search in list(state.searches.items()):
-        search.waiting.discard(host)
-        search.unsure.discard(host)
-        search.later.discard(host)
-        effects += conclude(state, key, search)
+        search.pending_hosts.discard(host)
+        search.unsure_hosts.discard(host)
+        search.deferred_hosts.discard(host)
+        effects += conclude_search(state, key, search)
     return effects
--- a/shedsill/datagram/_roster.py
+++ b/shedsill/datagram/_membership.py
@@ -6,7 +6,7 @@
 
 from shedsill._catalogue import LogEvent
 from shedsill._shared_effects import Note
-from shedsill.datagram import _checkpointing, _locating, _nodes, _reading
+from shedsill.datagram import _checkpoint_collection, _flow_search, _failure_detection, _report_polling
 from shedsill.datagram._balancer_state import BalancerState, reset_flows
 from shedsill.datagram._effects import (
     Effect,
@@ -26,41 +26,41 @@
 )
 from shedsill.datagram._selection import UpstreamView
 
-INTRODUCTIONS = 3
+PEERS_PER_SYNC = 3
 """Other balancers that one asks at a time for the nodes they know when it starts."""
 
-OUTAGE_INTERVAL = 1.0
-"""Seconds between these questions after `INTRODUCTION_LIMIT`, while the store has not
+OUTAGE_SYNC_INTERVAL_SECONDS = 1.0
+"""Seconds between these questions after `SYNC_TIMEOUT_SECONDS`, while the store has not
 answered either."""
 
-PULL_AFTER = 0.4
+TABLE_PULL_DELAY_SECONDS = 0.4
 """Seconds that a balancer waits for the store to bring a table that others have.
 All reading from the first one that has it would fill its link."""
 
-FORGET_LOST_AFTER = 20.0
+LOST_REPORT_RETENTION_SECONDS = 20.0
 """Seconds after which a lost agent's report is removed from the store; a VM that
 is down or cut off for less keeps its place."""
 
 
-def take_report(state: BalancerState, report: NodeReport, now: float) -> list[Effect]:
+def handle_direct_report(state: BalancerState, report: NodeReport, now: float) -> list[Effect]:
     """Take in what a node says of itself."""
     if report.host == state.report.host:
         return []
-    before = _nodes.merge_report(state.nodes, report, now, direct=True)
-    effects = _note_report(state, report, before)
+    before = _failure_detection.merge_report(state.nodes, report, now, direct=True)
+    effects = _handle_changed_report(state, report, before)
     if report.role == Role.BALANCER:
-        _note_version(state, report, now)
+        _record_peer_version(state, report, now)
         return effects
     view = state.nodes.upstreams[report.host]
-    if report.boot and view.told_boot != report.boot:
-        view.told_boot = report.boot
-        _locating.doubt_flows(state, report)
+    if report.boot and view.confirmed_boot != report.boot:
+        view.confirmed_boot = report.boot
+        _flow_search.verify_earlier_boot_flows(state, report)
     known = before is not None and report.incarnation in (
         before.incarnation,
-        view.rumoured,
+        view.reported_incarnation,
     )
-    if not known or (_is_leaving(report, before) and _relays_leaving(state, now)):
-        effects += _relay(state, report)
+    if not known or (_is_leaving(report, before) and _should_relay_leaving(state, now)):
+        effects += _relay_report(state, report)
     return effects
 
 
@@ -69,17 +69,17 @@
     return report.state == gone and before is not None and before.state != gone
 
 
-def _relays_leaving(state: BalancerState, now: float) -> bool:
+def _should_relay_leaving(state: BalancerState, now: float) -> bool:
     """Whether this balancer tells the others that an upstream is about to end.
 
     Its agent has told the seeds, and those that dealt with it lately.  If all of them
     passed it on, there would be as many messages as pairs of balancers.
     """
     is_seed = state.report.host in state.seeds
-    return is_seed or _checkpointing.is_collector(state, now)
+    return is_seed or _checkpoint_collection.is_collector(state, now)
 
 
-def _relay(state: BalancerState, report: NodeReport) -> list[Effect]:
+def _relay_report(state: BalancerState, report: NodeReport) -> list[Effect]:
     """Tell the other balancers of an agent that has just started or is leaving.
 
     A new agent knows only the balancers among its seeds.  Those that have heard of
@@ -89,13 +89,13 @@
     return [SendMessage(host, roster) for host in state.nodes.balancers]
 
 
-def _note_version(state: BalancerState, report: NodeReport, now: float) -> None:
+def _record_peer_version(state: BalancerState, report: NodeReport, now: float) -> None:
     """Note that another balancer has a newer table."""
     if report.version <= state.table.version:
         return
-    if not state.ahead:
+    if not state.peers_ahead:
         state.behind_since = now
-    state.ahead[report.host] = report.zone
+    state.peers_ahead[report.host] = report.zone
 
 
 def pull_table(state: BalancerState, now: float) -> list[Effect]:
@@ -104,17 +104,17 @@
     One of this balancer's own availability zone goes first: tables are large,
     and octets between zones are dear.
     """
-    if not state.ahead or now - state.behind_since < PULL_AFTER:
+    if not state.peers_ahead or now - state.behind_since < TABLE_PULL_DELAY_SECONDS:
         return []
-    near = [h for h, zone in state.ahead.items() if zone == state.report.zone]
-    hosts = sorted(near or state.ahead)
+    near = [h for h, zone in state.peers_ahead.items() if zone == state.report.zone]
+    hosts = sorted(near or state.peers_ahead)
     state.peer_exchanges += 1
     host = hosts[(state.report.incarnation + state.peer_exchanges) % len(hosts)]
     state.behind_since = now
     return [PullTable(host)]
 
 
-def take_reports(
+def handle_indirect_reports(
     state: BalancerState, reports: Iterable[NodeReport], now: float
 ) -> list[Effect]:
     """Take in what others say of nodes."""
@@ -124,14 +124,14 @@
             continue
         known = state.nodes.upstreams.get(report.host)
         was_lost = known is not None and known.lost
-        before = _nodes.merge_report(state.nodes, report, now, direct=False)
-        effects += _note_report(state, report, before)
+        before = _failure_detection.merge_report(state.nodes, report, now, direct=False)
+        effects += _handle_changed_report(state, report, before)
         if was_lost and known is not None and not known.lost:
-            _locating.add_host(state, report.host)
+            _flow_search.add_host_to_searches(state, report.host)
     return effects
 
 
-def _note_report(
+def _handle_changed_report(
     state: BalancerState,
     report: NodeReport,
     before: NodeReport | None,
@@ -156,30 +156,30 @@
     }
     effects: list[Effect] = [Note(event=LogEvent.UPSTREAM_CHANGED, fields=fields)]
     if before is None:
-        _locating.add_host(state, report.host)
+        _flow_search.add_host_to_searches(state, report.host)
     return effects
 
 
-def take_listed(state: BalancerState, event: ReportsListed) -> list[Effect]:
+def handle_reports_listed(state: BalancerState, event: ReportsListed) -> list[Effect]:
     """Take in the reports that the store holds."""
-    unknown = _list_unknown(state, event.reports)
-    effects = take_reports(state, event.reports, event.now)
-    is_first = _checkpointing.is_collector(state, event.now)
-    if is_first and state.nodes.listed:
+    unknown = _list_unknown_agents(state, event.reports)
+    effects = handle_indirect_reports(state, event.reports, event.now)
+    is_first = _checkpoint_collection.is_collector(state, event.now)
+    if is_first and state.nodes.store_listed:
         for report in unknown:
-            effects += _relay(state, report)
-    _reading.note_read(state.reading, event.now, unknown=bool(unknown), first=is_first)
+            effects += _relay_report(state, report)
+    _report_polling.record_read(state.polling, event.now, unknown=bool(unknown), is_collector=is_first)
     for host in event.removed:
-        effects += _take_removed(state, host, event.now)
-    if event.whole and not state.nodes.listed:
-        state.nodes.listed = True
-        state.next_introduction = event.now
-        effects += introduce(state, event.now)
-        effects += _make_known(state, event.reports)
-    return effects + _locating.conclude_denied(state)
+        effects += _handle_removed_report(state, host, event.now)
+    if event.whole and not state.nodes.store_listed:
+        state.nodes.store_listed = True
+        state.next_sync_at = event.now
+        effects += synchronize_peers(state, event.now)
+        effects += _store_own_report(state, event.reports)
+    return effects + _flow_search.conclude_denied_searches(state)
 
 
-def _take_removed(state: BalancerState, host: str, now: float) -> list[Effect]:
+def _handle_removed_report(state: BalancerState, host: str, now: float) -> list[Effect]:
     """Take in that a node's report was removed from the store."""
     if host == state.report.host and state.stop_at is None:
         # A removal by the last run of this balancer was carried out late.
@@ -189,12 +189,12 @@
     if view is None:
         return []
     if _has_left(view):
-        return _forget_upstream(state, host)
-    _nodes.suspect(view, now)
+        return _remove_upstream(state, host)
+    _failure_detection.mark_suspect(view, now)
     return []
 
 
-def _list_unknown(
+def _list_unknown_agents(
     state: BalancerState, reports: tuple[NodeReport, ...]
 ) -> list[NodeReport]:
     """Return the reports of agents that nobody has told this balancer of."""
@@ -205,7 +205,7 @@
     ]
 
 
-def _make_known(state: BalancerState, reports: tuple[NodeReport, ...]) -> list[Effect]:
+def _store_own_report(state: BalancerState, reports: tuple[NodeReport, ...]) -> list[Effect]:
     """Keep a report of this balancer in the store.
 
     One of an earlier run is as good: others take from it that there is a balancer at
@@ -232,78 +232,78 @@
     return view.lost or told
 
 
-def introduce(state: BalancerState, now: float) -> list[Effect]:
+def synchronize_peers(state: BalancerState, now: float) -> list[Effect]:
     """Ask a few other balancers for the nodes that they know, until one has told.
 
     Agents that the store turns away are known to balancers that they have
     spoken with, but not from the store.  In an outage the seeds are all there is.
     """
-    if state.introduced or now < state.next_introduction:
+    if state.peers_synced or now < state.next_sync_at:
         return []
-    late = now - state.started > _nodes.INTRODUCTION_LIMIT
-    if late and state.nodes.listed:
+    late = now - state.started_at > _failure_detection.SYNC_TIMEOUT_SECONDS
+    if late and state.nodes.store_listed:
         return []
-    state.next_introduction = now + (OUTAGE_INTERVAL if late else _nodes.ASK_INTERVAL)
+    state.next_sync_at = now + (OUTAGE_SYNC_INTERVAL_SECONDS if late else _failure_detection.PROBE_INTERVAL_SECONDS)
     seeds = [seed for seed in state.seeds if seed != state.report.host]
     others = sorted({*state.nodes.balancers, *seeds})
-    first = state.introductions * INTRODUCTIONS % max(len(others), 1)
-    state.introductions += 1
-    chosen = (others[first:] + others[:first])[:INTRODUCTIONS]
+    first = state.sync_attempts * PEERS_PER_SYNC % max(len(others), 1)
+    state.sync_attempts += 1
+    chosen = (others[first:] + others[:first])[:PEERS_PER_SYNC]
     return [SendMessage(host, Probe(report=state.report)) for host in chosen]
 
 
-def forget_lost(state: BalancerState, now: float) -> list[Effect]:
+def remove_lost_agents(state: BalancerState, now: float) -> list[Effect]:
     """Remove what is left of VMs that have been gone for long.
 
     One balancer does so, the first one known by host, so that it costs few
     calls; another one takes over when that is gone.
     """
     effects: list[Effect] = []
-    _nodes.forget_retired(state.nodes, now)
+    _failure_detection.remove_retired(state.nodes, now)
     first = min([state.report.host, *state.nodes.balancers]) == state.report.host
     for host, view in list(state.nodes.upstreams.items()):
-        if not view.lost or now - view.lost_at < FORGET_LOST_AFTER:
+        if not view.lost or now - view.lost_at < LOST_REPORT_RETENTION_SECONDS:
             continue
         if first:
             effects.append(ForgetReport(view.report))
-        effects += _forget_upstream(state, host)
+        effects += _remove_upstream(state, host)
     return effects
 
 
-def _forget_upstream(state: BalancerState, host: str) -> list[Effect]:
+def _remove_upstream(state: BalancerState, host: str) -> list[Effect]:
     state.nodes.upstreams.pop(host, None)
-    return _drop_agent(state, host, "upstream left")
+    return _reset_agent_flows(state, host, "upstream left")
 
 
-def _drop_agent(state: BalancerState, host: str, reason: str) -> list[Effect]:
+def _reset_agent_flows(state: BalancerState, host: str, reason: str) -> list[Effect]:
     """Reset the flows of an agent that is gone, and search without it."""
     keys = [key for key, flow in state.flows.items() if flow.host == host]
     effects = reset_flows(state, keys, host, reason)
-    return effects + _locating.drop_host(state, host)
+    return effects + _flow_search.remove_host_from_searches(state, host)
 
 
-def ask_silent(state: BalancerState, now: float) -> list[Effect]:
+def probe_agents(state: BalancerState, now: float) -> list[Effect]:
     """Ask agents that have been silent; give up those that stay so."""
     effects: list[Effect] = []
     probe = Probe()
     views = state.nodes.upstreams.values()
     doubt = any(v.silent_since is not None and not v.lost for v in views)
     for host, view in state.nodes.upstreams.items():
-        wanted = doubt or host in state.holding_hosts or _nodes.is_ending(view)
-        if _nodes.is_due(view, now, wanted=wanted):
-            _nodes.note_asked(view, now)
+        wanted = doubt or host in state.hosts_with_flows or _failure_detection.is_ending(view)
+        if _failure_detection.is_probe_due(view, now, needed=wanted):
+            _failure_detection.record_probe(view, now)
             effects.append(SendMessage(host, probe))
-    effects += _note_isolation(state, now)
-    if _nodes.is_isolated(views, now):
-        _nodes.restart_silences(views, now)
+    effects += _update_isolation(state, now)
+    if _failure_detection.is_isolated(views, now):
+        _failure_detection.restart_silence_timers(views, now)
         return effects
-    lost = [h for h, v in state.nodes.upstreams.items() if _nodes.is_lost(v, now)]
+    lost = [h for h, v in state.nodes.upstreams.items() if _failure_detection.has_timed_out(v, now)]
     for host in lost:
         effects += _give_up_agent(state, host, state.nodes.upstreams[host], now)
     return effects
 
 
-def note_return(state: BalancerState, before: UpstreamView, now: float) -> list[Effect]:
+def handle_returned_agent(state: BalancerState, before: UpstreamView, now: float) -> list[Effect]:
     """Draw conclusions from the word of an agent that was silent.
 
     Parameters
@@ -316,20 +316,20 @@
     if view is None or view.silent_since is not None:
         return []
     if before.lost:
-        _locating.add_host(state, host)
-    if not _nodes.is_late_answer(before, view):
+        _flow_search.add_host_to_searches(state, host)
+    if not _failure_detection.is_late_answer(before, view):
         return []
-    silent = _nodes.restart_silences(state.nodes.upstreams.values(), now)
+    silent = _failure_detection.restart_silence_timers(state.nodes.upstreams.values(), now)
     if not silent:
         return []
-    fields = {"upstream": host, "questions": before.questions, "silent": silent}
+    fields = {"upstream": host, "questions": before.unanswered_probes, "silent": silent}
     return [Note(event=LogEvent.SILENCE_RESTARTED, fields=fields)]
 
 
-def _note_isolation(state: BalancerState, now: float) -> list[Effect]:
+def _update_isolation(state: BalancerState, now: float) -> list[Effect]:
     """Note that this balancer has been cut off from most agents, or no longer is."""
     views = state.nodes.upstreams.values()
-    isolated = _nodes.is_isolated(views, now, questions=_nodes.ISOLATED_QUESTIONS)
+    isolated = _failure_detection.is_isolated(views, now, min_probes=_failure_detection.ISOLATED_AFTER_PROBES)
     if isolated == state.isolated:
         return []
     state.isolated = isolated
@@ -346,13 +346,13 @@
     fields = {
         "upstream": host,
         "silent": round(now - (view.silent_since or now), 3),
-        "questions": view.questions,
-        "heard": round(now - view.heard, 3) if view.heard else None,
+        "questions": view.unanswered_probes,
+        "heard": round(now - view.last_heard_at, 3) if view.last_heard_at else None,
         "others_silent": sum(v.silent_since is not None for v in views) - 1,
         "known": len(views),
-        "up": round(now - state.started, 3),
+        "up": round(now - state.started_at, 3),
     }
     view.lost = True
     view.lost_at = now
     note = Note(event=LogEvent.UPSTREAM_LOST, fields=fields)
-    return [note, *_drop_agent(state, host, "agent is silent")]
+    return [note, *_reset_agent_flows(state, host, "agent is silent")]
--- a/shedsill/datagram/_reducer.py
+++ b/shedsill/datagram/_reducer.py
@@ -12,8 +12,8 @@
     _agent,
     _agent_packets,
     _balancer,
-    _checkpointing,
-    _roster,
+    _checkpoint_collection,
+    _membership,
     _upstream,
 )
 from shedsill.datagram._agent_state import AgentState
@@ -88,23 +88,23 @@
 ) -> list[Effect]:
     match event:
         case CallerPacket():
-            return _balancer.take_packet(state, event)
+            return _balancer.handle_caller_packet(state, event)
         case PacketsDrained():
-            return _balancer.take_drained(state, event)
+            return _balancer.handle_packets_drained(state, event)
         case MessageReceived():
-            return _balancer.take_message(state, event, returned)
+            return _balancer.handle_message(state, event, returned)
         case Tick():
-            return _balancer.take_tick(state, event)
+            return _balancer.handle_tick(state, event)
         case EarlierReportRead():
             return []
         case ReportsListed():
-            return _roster.take_listed(state, event)
+            return _membership.handle_reports_listed(state, event)
         case CheckpointRead():
-            return _checkpointing.take_checkpoint(state, event)
+            return _checkpoint_collection.handle_checkpoint_read(state, event)
         case TableOffered():
-            return _balancer.take_table(state, event)
+            return _balancer.handle_table(state, event)
         case StopRequested():
-            return _balancer.take_stop(state, event)
+            return _balancer.handle_stop(state, event)
         case _:
             raise InvariantError(f"a balancer was given {type(event).__name__}")
 
--- a/shedsill/datagram/_reading.py
+++ b/shedsill/datagram/_report_polling.py
@@ -16,84 +16,84 @@
 
 from shedsill.datagram._effects import Effect, ReadReports
 
-FIRST_PAUSE = 2.0
+MIN_POLL_INTERVAL_SECONDS = 2.0
 """Seconds between a change of reports and the next watch, which then brings all changes
 of that time in one call."""
 
-LONGEST_PAUSE = 16.0
+MAX_POLL_INTERVAL_SECONDS = 16.0
 """The same after several readings without an unknown node.  What a balancer acts on it
 asks for when needed, so this delays only the first flows to a node that is known to
 the store and to no other balancer."""
 
-RECENT = FIRST_PAUSE
+MAX_LIST_AGE_SECONDS = MIN_POLL_INTERVAL_SECONDS
 """Seconds for which a list that was read is good enough to reset a flow by."""
 
-READ_LIMIT = 0.5
+READ_TIMEOUT_SECONDS = 0.5
 """Seconds that callers are made to wait for a reading; a slow store answers in 0.3 s.
 After that what is known has to do, as in an outage of the store."""
 
 
-class Reading(Struct):
+class ReportPolling(Struct):
     """What a balancer notes of its readings.
 
     Attributes
     ----------
     read_at : float
         When reports were last read.
-    wanted_at : float
+    requested_at : float
         When a reading was last asked for.
-    pause : float
+    interval : float
         Seconds until the next watch after a change.
     """
 
     read_at: float = 0.0
-    wanted_at: float = 0.0
-    pause: float = FIRST_PAUSE
+    requested_at: float = 0.0
+    interval: float = MIN_POLL_INTERVAL_SECONDS
 
 
-def note_read(reading: Reading, now: float, *, unknown: bool, first: bool) -> None:
+def record_read(polling: ReportPolling, now: float, *, unknown: bool, is_collector: bool) -> None:
     """Note that reports were read, and choose when they are read next.
 
     Parameters
     ----------
     unknown : bool
         Whether they told of a node that was not known.
-    first : bool
+    is_collector : bool
         Whether this balancer reads for the others.
 
     Examples
     --------
-    >>> reading = Reading()
+    >>> polling = ReportPolling()
     >>> for _ in range(5):
-    ...     note_read(reading, 1.0, unknown=False, first=False)
-    >>> reading.pause
+    ...     record_read(polling, 1.0, unknown=False, is_collector=False)
+    >>> polling.interval
     16.0
-    >>> note_read(reading, 2.0, unknown=True, first=False)
-    >>> reading.pause
+    >>> record_read(polling, 2.0, unknown=True, is_collector=False)
+    >>> polling.interval
     2.0
     """
-    reading.read_at = now
-    if unknown or first:
-        reading.pause = FIRST_PAUSE
+    polling.read_at = now
+    if unknown or is_collector:
+        polling.interval = MIN_POLL_INTERVAL_SECONDS
     else:
-        reading.pause = min(2 * reading.pause, LONGEST_PAUSE)
+        polling.interval = min(2 * polling.interval, MAX_POLL_INTERVAL_SECONDS)
 
 
-def is_recent(reading: Reading, now: float) -> bool:
-    """Whether the list of nodes is recent, or cannot be had within `READ_LIMIT`."""
-    if now - reading.read_at <= RECENT:
+def is_recent(polling: ReportPolling, now: float) -> bool:
+    """Whether the list of nodes is recent, or cannot be had within `READ_TIMEOUT_SECONDS`."""
+    if now - polling.read_at <= MAX_LIST_AGE_SECONDS:
         return True
-    return is_wanted(reading) and now - reading.wanted_at >= READ_LIMIT
+    return is_read_pending(polling) and now - polling.requested_at >= READ_TIMEOUT_SECONDS
 
 
-def is_wanted(reading: Reading) -> bool:
+def is_read_pending(polling: ReportPolling) -> bool:
     """Whether a reading was asked for that has not come."""
-    return reading.wanted_at > reading.read_at
+    return polling.requested_at > polling.read_at
 
 
-def want(reading: Reading, now: float) -> list[Effect]:
+def request_read(polling: ReportPolling, now: float) -> list[Effect]:
     """Ask for a reading at once."""
-    if is_wanted(reading):
+    if is_read_pending(polling):
         return []
-    reading.wanted_at = now
+    polling.requested_at = now
     return [ReadReports()]
--- a/shedsill/datagram/_runtime/balancer.py
+++ b/shedsill/datagram/_runtime/balancer.py
@@ -274,7 +274,7 @@
         self._reports_wanted.clear()
         self._resting = True
         try:
-            async with asyncio.timeout(self.state.reading.pause):
+            async with asyncio.timeout(self.state.polling.interval):
                 await self._reports_wanted.wait()
         except TimeoutError:
             return None
--- a/shedsill/datagram/_searches.py
+++ b/shedsill/datagram/_search_state.py
@@ -9,22 +9,22 @@
 
 from shedsill.datagram._packet import Packet
 
-SEARCH_TIMEOUT = 0.15
+LOCATE_TIMEOUT_SECONDS = 0.15
 """Seconds after which unanswered agents are asked again, if packets still wait;
 some round trips between availability zones, below the 200 ms after which
 callers send again."""
 
-FORGET_AFTER = 3.0
+SEARCH_IDLE_TIMEOUT_SECONDS = 3.0
 """Seconds after which a search without new packets is dropped."""
 
-MAX_HELD_PACKETS = 16
+MAX_BUFFERED_PACKETS = 16
 """Packets held for one flow: as many as one end may have under way."""
 
 MAX_SEARCHES = 8192
 """Searches at once; above this, packets of unknown flows are dropped."""
 
 
-class Phase(enum.Enum):
+class SearchPhase(enum.Enum):
     """What a search is waiting for."""
 
     ASKING = "asking"
@@ -38,68 +38,68 @@
     ----------
     packets : list of Packet
         Held until the upstream is known.
-    waiting : set of str
+    pending_hosts : set of str
         Hosts of the agents that were asked and have not answered.
-    later : set of str
+    deferred_hosts : set of str
         Hosts of agents that are asked once the others have denied the flow.
-    unsure : set of str
+    unsure_hosts : set of str
         Hosts of agents that could not tell and have not been tried yet.
-    tried : int
+    tried_count : int
         Agents that were given a packet.
-    asked : float
+    asked_at : float
         When agents were last asked.
-    seen, begun : float
+    last_packet_at, started_at : float
         When the last packet of the flow came, and the first.
     caller_ack : int
         What the caller expects next, as its last packet said.
     """
 
     packets: list[Packet]
-    waiting: set[str]
-    asked: float
-    seen: float
-    begun: float
+    pending_hosts: set[str]
+    asked_at: float
+    last_packet_at: float
+    started_at: float
     caller_ack: int
-    phase: Phase = Phase.ASKING
-    unsure: set[str] = field(default_factory=set)
-    tried: int = 0
-    later: set[str] = field(default_factory=set)
+    phase: SearchPhase = SearchPhase.ASKING
+    unsure_hosts: set[str] = field(default_factory=set)
+    tried_count: int = 0
+    deferred_hosts: set[str] = field(default_factory=set)
 
 
-def begin_search(
-    caller_ack: int, hosts: Iterable[str], later: Iterable[str], now: float
+def create_search(
+    caller_ack: int, hosts: Iterable[str], deferred_hosts: Iterable[str], now: float
 ) -> Search:
     """Return a search that starts now, without packets so far."""
     return Search(
         packets=[],
-        waiting=set(hosts),
-        later=set(later),
-        asked=now,
-        seen=now,
-        begun=now,
+        pending_hosts=set(hosts),
+        deferred_hosts=set(deferred_hosts),
+        asked_at=now,
+        last_packet_at=now,
+        started_at=now,
         caller_ack=caller_ack,
     )
 
 
-def hold_packet(search: Search, packet: Packet, now: float) -> None:
+def buffer_packet(search: Search, packet: Packet, now: float) -> None:
     """Hold another packet of the flow; the oldest one goes when there are many."""
-    search.seen = now
+    search.last_packet_at = now
     search.caller_ack = packet.ack
     search.packets.append(packet)
-    if len(search.packets) > MAX_HELD_PACKETS:
+    if len(search.packets) > MAX_BUFFERED_PACKETS:
         del search.packets[0]
 
 
 def is_denied(search: Search) -> bool:
     """Whether every agent that was asked has denied the flow."""
-    return not (search.waiting or search.later or search.unsure)
+    return not (search.pending_hosts or search.deferred_hosts or search.unsure_hosts)
 
 
-def is_due(search: Search, now: float) -> bool:
+def is_retry_due(search: Search, now: float) -> bool:
     """Whether the agents that have not answered are to be asked again."""
-    return now - search.asked >= SEARCH_TIMEOUT
+    return now - search.asked_at >= LOCATE_TIMEOUT_SECONDS
 
 
-def is_over(search: Search, now: float) -> bool:
+def is_abandoned(search: Search, now: float) -> bool:
     """Whether the caller has stopped sending, so that nobody waits."""
-    return now - search.seen >= FORGET_AFTER
+    return now - search.last_packet_at >= SEARCH_IDLE_TIMEOUT_SECONDS
--- a/shedsill/datagram/adapter.py
+++ b/shedsill/datagram/adapter.py
@@ -13,7 +13,7 @@
 
 from shedsill._addresses import Address
 from shedsill.datagram._events import Heartbeat, UpstreamLeft
-from shedsill.datagram._forwarding import ForwardingTable, Route
+from shedsill.datagram._forwarding_table import ForwardingTable, Route
 from shedsill.datagram._messages import Role
 from shedsill.datagram._packet import Packet
 
--- a/shedsill/platform/manifest.py
+++ b/shedsill/platform/manifest.py
@@ -8,7 +8,7 @@
 import msgspec
 from msgspec import Struct, field
 
-from shedsill.datagram._forwarding import ForwardingTable, Route, ServiceShare
+from shedsill.datagram._forwarding_table import ForwardingTable, Route, ServiceShare
 from shedsill.datagram.adapter import TableSource
 from shedsill.errors import DecodeError
 
--- a/shedsill/platform/packets.py
+++ b/shedsill/platform/packets.py
@@ -15,7 +15,7 @@
 import socket
 import struct
 
-from shedsill.datagram._forwarding import Route
+from shedsill.datagram._forwarding_table import Route
 from shedsill.datagram._packet import ACK, BOUNCED, FIN, RST, SYN, Packet
 
 __all__ = ["HeadCodec"]
--- a/shedsill/testing/datagrams.py
+++ b/shedsill/testing/datagrams.py
@@ -55,7 +55,7 @@
     UpstreamLeft,
     UpstreamPacket,
 )
-from shedsill.datagram._forwarding import ForwardingTable, Route, ServiceShare
+from shedsill.datagram._forwarding_table import ForwardingTable, Route, ServiceShare
 from shedsill.datagram._messages import (
     NodeReport,
     OpenFlow,
--- a/shedsill/testing/weakened.py
+++ b/shedsill/testing/weakened.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 
 from shedsill.datagram import _agent, _agent_packets, _agent_state, _balancer
-from shedsill.datagram._nodes import Nodes
+from shedsill.datagram._failure_detection import Nodes
 from shedsill.platform import packets
 from shedsill.platform.node import main
 
@@ -35,8 +35,8 @@
     def offer_any(nodes, _service: str) -> list:
         return list(nodes.upstreams.values())
 
-    Nodes.list_service = offer_any
-    _agent_packets.number_service = lambda _service: 0
+    Nodes.list_service_upstreams = offer_any
+    _agent_packets.hash_service = lambda _service: 0
     packets.SERVICE = _ZeroService()
 
 
@@ -65,7 +65,7 @@
     """Have a restarted balancer put no configuration in force."""
     settings = json.loads(pathlib.Path(os.environ["SHEDSILL_BOOT"]).read_text())
     if not settings["bootstrap"]:
-        _balancer.take_table = lambda _state, _event: []
+        _balancer.handle_table = lambda _state, _event: []
 
 
 def break_sweep() -> None:
--- a/shedsill/tests/test_datagram_bounds.py
+++ b/shedsill/tests/test_datagram_bounds.py
@@ -12,8 +12,8 @@
     KEEPALIVE_PROBES,
     USER_TIMEOUT,
 )
-from shedsill.datagram._nodes import LOST_AFTER
-from shedsill.datagram._roster import PULL_AFTER
+from shedsill.datagram._failure_detection import LOST_AFTER_SECONDS
+from shedsill.datagram._membership import TABLE_PULL_DELAY_SECONDS
 from shedsill.datagram._runtime import balancer, reports
 from shedsill.datagram._runtime.node import TICK_INTERVAL
 from shedsill.datagram._runtime.tables import TABLE_RATE, pack_table
@@ -51,7 +51,7 @@
     """
     noticed = balancer.COLLECTOR_PATIENCE + WATCH_MARGIN + balancer.RETRY.first
     content = len(pack_table(make_table(LARGE_TABLE)))
-    spread = PULL_AFTER + TICK_INTERVAL + content / THIN_LINK
+    spread = TABLE_PULL_DELAY_SECONDS + TICK_INTERVAL + content / THIN_LINK
     assert noticed + TRANSFER + spread < CONTACT
 
 
@@ -73,11 +73,11 @@
 def test_a_table_comes_from_another_balancer_in_time() -> None:
     """The first reader waits and reads; later ones find more that have it."""
     content = len(pack_table(make_table(LARGE_TABLE)))
-    delay = PULL_AFTER + TICK_INTERVAL + content / THIN_LINK
+    delay = TABLE_PULL_DELAY_SECONDS + TICK_INTERVAL + content / THIN_LINK
     queue = content / TABLE_RATE
     assert delay + queue < CONFIGURATION / 2
 
 
 def test_an_agent_is_given_up_before_its_callers_give_up() -> None:
     """The shortest deadline of a request is 2 s; a second try needs some of it."""
-    assert LOST_AFTER <= 2.0 / 2
+    assert LOST_AFTER_SECONDS <= 2.0 / 2
--- a/shedsill/tests/test_datagram_checkpoints.py
+++ b/shedsill/tests/test_datagram_checkpoints.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from shedsill.datagram import _checkpointing
+from shedsill.datagram import _checkpoint_collection
 from shedsill.datagram._events import CheckpointRead, MessageReceived
 from shedsill.datagram._messages import (
     CheckpointPart,
@@ -157,7 +157,7 @@
     callers = open_flows(world)
     silence(world, callers)
     cut_power(world)
-    world.run(_checkpointing.MAX_AGE + 0.1)
+    world.run(_checkpoint_collection.MAX_CHECKPOINT_AGE_SECONDS + 0.1)
     return_power(world)
     world.run(3.0)
     assert not world.resets
@@ -191,7 +191,7 @@
     states = [world.nodes[host] for host in BALANCERS[1:]]
     assert {s.checkpoints.collector for s in states} == {BALANCERS[1]}
     world.add_balancer(BALANCERS[0])
-    world.run(_checkpointing.SILENT_COLLECTOR + 3.0)
+    world.run(_checkpoint_collection.SILENT_COLLECTOR_BACKOFF_SECONDS + 3.0)
     assert {s.checkpoints.collector for s in states} == {BALANCERS[0]}
 
 
@@ -222,7 +222,7 @@
             seen.add(world.checkpoint_at)
         writes.append(len(seen))
     assert abs(writes[0] - writes[1]) <= 1
-    assert writes[1] <= 20.0 / _checkpointing.INTERVAL + 1
+    assert writes[1] <= 20.0 / _checkpoint_collection.CHECKPOINT_INTERVAL_SECONDS + 1
 
 
 def test_a_message_of_open_flows_fits_a_packet() -> None:
@@ -233,7 +233,7 @@
         boot="i-" + "f" * 10,
         caller_ack=2**32 - 1,
     )
-    flows = [flow] * _checkpointing.FLOWS_PER_MESSAGE
+    flows = [flow] * _checkpoint_collection.FLOWS_PER_MESSAGE
     octets = encode_message(CheckpointPart(number=2**31, flows=flows))
     assert len(octets) <= PACKET_OCTETS
     assert decode_message(encode_message(CheckpointTaken())) == CheckpointTaken()
--- a/shedsill/tests/test_datagram_deafness.py
+++ b/shedsill/tests/test_datagram_deafness.py
@@ -16,7 +16,7 @@
 import pytest
 
 from shedsill._catalogue import LogEvent
-from shedsill.datagram._nodes import LOST_AFTER
+from shedsill.datagram._failure_detection import LOST_AFTER_SECONDS
 from shedsill.testing.datagrams import Losses, World
 from shedsill.testing.flow_peers import Caller
 
@@ -99,11 +99,11 @@
     dead = world.find_holder(callers[0])
     world.upstreams[dead].alive = False
     world.cut.add(dead)
-    world.run(LOST_AFTER / 2)
+    world.run(LOST_AFTER_SECONDS / 2)
     world.cut.add(B1)
     world.run(3.0)
     world.cut.discard(B1)
-    world.run(LOST_AFTER + 0.7)
+    world.run(LOST_AFTER_SECONDS + 0.7)
     assert callers[0].outcome == "reset"
 
 
--- a/shedsill/tests/test_datagram_flows.py
+++ b/shedsill/tests/test_datagram_flows.py
@@ -8,9 +8,9 @@
 from shedsill._catalogue import LogEvent
 from shedsill.datagram._events import ReportsListed
 from shedsill.datagram._messages import Locate, Roster, UpstreamState
-from shedsill.datagram._nodes import LOST_AFTER, RETIRED_MEMORY, STOPPING_LOST_AFTER
-from shedsill.datagram._roster import PULL_AFTER
-from shedsill.datagram._searches import SEARCH_TIMEOUT
+from shedsill.datagram._failure_detection import LOST_AFTER_SECONDS, RETIRED_RETENTION_SECONDS, STOPPING_LOST_AFTER_SECONDS
+from shedsill.datagram._membership import TABLE_PULL_DELAY_SECONDS
+from shedsill.datagram._search_state import LOCATE_TIMEOUT_SECONDS
 from shedsill.testing.datagrams import World
 from shedsill.testing.flow_peers import Caller
 
@@ -135,9 +135,9 @@
     caller = open_flow(world)
     world.cut.add(world.find_holder(caller))
     world.upstreams[world.find_holder(caller)].alive = False
-    world.run(LOST_AFTER / 2)
+    world.run(LOST_AFTER_SECONDS / 2)
     assert not caller.outcome
-    world.run(LOST_AFTER + 0.6)
+    world.run(LOST_AFTER_SECONDS + 0.6)
     assert caller.outcome == "reset"
 
 
@@ -146,7 +146,7 @@
     world.stop(world.find_holder(caller))
     world.run(0.01)
     world.kill(world.find_holder(caller))
-    world.run(LOST_AFTER + 0.6)
+    world.run(LOST_AFTER_SECONDS + 0.6)
     assert not caller.outcome
     world.add_agent(world.find_holder(caller), "dispatcher")
     world.run(0.5)
@@ -168,7 +168,7 @@
         world.add_agent(host, "dispatcher")
     world.add_balancer(B1)
     caller.send_request()
-    world.run(STOPPING_LOST_AFTER + 0.6)
+    world.run(STOPPING_LOST_AFTER_SECONDS + 0.6)
     assert caller.outcome == "reset"
 
 
@@ -264,9 +264,9 @@
 
 def test_a_table_spreads_without_the_store(world: World) -> None:
     world.change_table(world.make_table(7), (B1,))
-    world.run(PULL_AFTER / 2)
+    world.run(TABLE_PULL_DELAY_SECONDS / 2)
     assert world.nodes[B2].table.version == 1
-    world.run(PULL_AFTER)
+    world.run(TABLE_PULL_DELAY_SECONDS)
     assert world.nodes[B2].table.version == 7
 
 
@@ -320,7 +320,7 @@
         world.call("dispatcher", B1)
     world.run(30.0)
     assert not world.nodes[B1].flows
-    assert not world.nodes[B1].placing
+    assert not world.nodes[B1].pending_flows
     assert not world.nodes[B1].searches
     assert not world.nodes[B1].resets
 
@@ -439,9 +439,9 @@
     world.kill(A1)
     world.add_agent(A1, "dispatcher")
     world.run(5.0)
-    assert world.nodes[B1].nodes.retired
-    world.run(RETIRED_MEMORY + 10.0)
-    assert not world.nodes[B1].nodes.retired
+    assert world.nodes[B1].nodes.retired_incarnations
+    world.run(RETIRED_RETENTION_SECONDS + 10.0)
+    assert not world.nodes[B1].nodes.retired_incarnations
     assert not world.nodes[A1].balancers
 
 
@@ -472,7 +472,7 @@
     zones.routers[caller.flow] = B2
     zones.nodes.pop(A2)
     caller.send_request()
-    zones.run(SEARCH_TIMEOUT + 0.06)
+    zones.run(LOCATE_TIMEOUT_SECONDS + 0.06)
     assert count(zones, LogEvent.FLOW_FOUND) == 1
 
 
@@ -499,7 +499,7 @@
     world.run(0.2)
     view = world.nodes[B1].nodes.upstreams[A1]
     assert view.report.incarnation == state.report.incarnation
-    assert view.confirmed == state.report.incarnation
+    assert view.confirmed_incarnation == state.report.incarnation
 
 
 def test_a_restart_of_the_upstream_in_an_outage_is_not_proof(world: World) -> None:
--- a/shedsill/tests/test_datagram_overload.py
+++ b/shedsill/tests/test_datagram_overload.py
@@ -10,7 +10,7 @@
 from shedsill.datagram._backlog import HeldRequest, hold
 from shedsill.datagram._health import note_answer
 from shedsill.datagram._messages import Load
-from shedsill.datagram._openings import MAX_OVERLOADED
+from shedsill.datagram._flow_placement import MAX_OVERLOADED_OFFERS
 from shedsill.datagram._packet import SYN, Packet
 from shedsill.testing.agents import make_agent_state
 from shedsill.testing.datagrams import World
@@ -104,7 +104,7 @@
 
 
 def test_a_caller_is_told_at_once_where_no_upstream_can_answer() -> None:
-    world = make_world(MAX_OVERLOADED + 2, MAX_OVERLOADED + 2)
+    world = make_world(MAX_OVERLOADED_OFFERS + 2, MAX_OVERLOADED_OFFERS + 2)
     caller = world.call("dispatcher", "10.0.0.1")
     world.run(0.05)
     assert caller.outcome == "reset"
--- a/shedsill/tests/test_datagram_reading.py
+++ b/shedsill/tests/test_datagram_reading.py
@@ -18,11 +18,11 @@
 from shedsill.coordination import MemoryPlatform
 from shedsill.coordination.platform import Changed, Listing, Put, Watch
 from shedsill.coordination.watch import watch_changes
-from shedsill.datagram import _reading
+from shedsill.datagram import _report_polling
 from shedsill.datagram._events import ReportsListed
 from shedsill.datagram._messages import NodeReport, Role, UpstreamState
-from shedsill.datagram._reading import Reading, note_read
-from shedsill.datagram._searches import SEARCH_TIMEOUT
+from shedsill.datagram._report_polling import ReportPolling, record_read
+from shedsill.datagram._search_state import LOCATE_TIMEOUT_SECONDS
 from shedsill.testing.datagrams import World
 
 B1, B2 = "10.0.0.1", "10.0.0.2"
@@ -69,7 +69,7 @@
 
 @pytest.mark.parametrize("store_up", [True, False])
 def test_a_flow_that_nobody_holds_is_reset_soon(world: World, store_up: bool) -> None:
-    """Callers wait for a reading, or for `READ_LIMIT` where the store is away."""
+    """Callers wait for a reading, or for `READ_TIMEOUT_SECONDS` where the store is away."""
     caller = world.call("dispatcher", B1, requests=LONG)
     world.run(3.0)
     world.store_up = store_up
@@ -78,7 +78,7 @@
     world.nodes[A1].flows.clear()
     world.run(0.3)
     assert (caller.outcome == "reset") == store_up
-    world.run(_reading.READ_LIMIT + SEARCH_TIMEOUT)
+    world.run(_report_polling.READ_TIMEOUT_SECONDS + LOCATE_TIMEOUT_SECONDS)
     assert caller.outcome == "reset"
 
 
@@ -124,14 +124,14 @@
 
 def count_readings(*, seconds: int, first: bool) -> int:
     """Count the watches of one balancer while reports change every second."""
-    reading = Reading()
+    reading = ReportPolling()
     count = 0
     due = 0.0
     for now in range(seconds):
         if now >= due:
             count += 1
-            note_read(reading, now, unknown=False, first=first)
-            due = now + reading.pause
+            record_read(reading, now, unknown=False, is_collector=first)
+            due = now + reading.interval
     return count
 
 
@@ -144,12 +144,12 @@
 
 
 def test_an_unknown_node_has_the_store_read_soon_again() -> None:
-    reading = Reading()
+    reading = ReportPolling()
     for now in range(10):
-        note_read(reading, now, unknown=False, first=False)
-    assert reading.pause == _reading.LONGEST_PAUSE
-    note_read(reading, 10.0, unknown=True, first=False)
-    assert reading.pause == _reading.FIRST_PAUSE
+        record_read(reading, now, unknown=False, is_collector=False)
+    assert reading.interval == _report_polling.MAX_POLL_INTERVAL_SECONDS
+    record_read(reading, 10.0, unknown=True, is_collector=False)
+    assert reading.interval == _report_polling.MIN_POLL_INTERVAL_SECONDS
 
 
 class CountingPlatform:
--- a/shedsill/tests/test_datagram_restarts.py
+++ b/shedsill/tests/test_datagram_restarts.py
@@ -109,7 +109,7 @@
     """Found by the soak: a flow that was asked for twice ended a balancer's process."""
     caller = open_flow(world)
     state = world.nodes[B1]
-    state.flows[caller.flow].doubted = True
+    state.flows[caller.flow].unverified = True
     world.upstreams[A1].crash()
     flows = [caller.flow, caller.flow]
     answer = Located(boot="i-9", held=[], unknown=flows, unsure=[], load=Load())
@@ -122,7 +122,7 @@
     """The first question was lost, and the caller has nothing left to send."""
     caller = open_flow(world)
     world.routers[caller.flow] = "nowhere"
-    world.nodes[B1].flows[caller.flow].doubted = True
+    world.nodes[B1].flows[caller.flow].unverified = True
     world.nodes[A1].flows.clear()
     world.upstreams[A1].flows.clear()
     world.run(0.3)
--- a/shedsill/tests/test_datagram_selection.py
+++ b/shedsill/tests/test_datagram_selection.py
@@ -15,7 +15,7 @@
 from shedsill.datagram._messages import Load, NodeReport, Role, UpstreamState
 from shedsill.datagram._selection import (
     BULK_ZONE_PENALTY,
-    OFFER_WINDOW,
+    OFFER_WINDOW_SECONDS,
     UpstreamView,
     choose_upstream,
 )
@@ -32,12 +32,12 @@
         state=UpstreamState.READY,
         load=Load(slots=2, **load),
     )
-    return UpstreamView(report=report, heard=NOW)
+    return UpstreamView(report=report, last_heard_at=NOW)
 
 
 def choose(views: list[UpstreamView], *, bulk: bool = False, flow: bytes = b"f") -> str:
     view = choose_upstream(
-        views, zone="near", bulk=bulk, without=(), flow=flow, now=NOW
+        views, zone="near", bulk=bulk, excluded=(), flow=flow, now=NOW
     )
     return view.report.host if view else ""
 
@@ -61,16 +61,16 @@
 
 def test_offers_count_until_the_reports_know_of_them() -> None:
     a, b = make_view("a"), make_view("b", busy=1)
-    a.offers = [NOW, NOW]
+    a.recent_offers = [NOW, NOW]
     assert choose([a, b]) == "b"
-    a.offers = [NOW - OFFER_WINDOW - 0.01] * 2
+    a.recent_offers = [NOW - OFFER_WINDOW_SECONDS - 0.01] * 2
     assert choose([a, b]) == "a"
 
 
 def test_an_old_count_gives_way_to_the_average() -> None:
     a, b = make_view("a", busy=9, average=0.5), make_view("b", busy=1, average=1.0)
     assert choose([a, b]) == "b"
-    a.heard = NOW - 1.0
+    a.last_heard_at = NOW - 1.0
     assert choose([a, b]) == "a"
 
 
--- a/shedsill/tests/test_datagram_slots.py
+++ b/shedsill/tests/test_datagram_slots.py
@@ -18,7 +18,7 @@
 )
 from shedsill.datagram._messages import Load, UpstreamState
 from shedsill.datagram._packet import ACK, FIN, RST, SYN, Packet
-from shedsill.datagram._selection import DEFAULT_SLOTS, number_service
+from shedsill.datagram._selection import DEFAULT_SLOTS, hash_service
 from shedsill.datagram._upstream import take_earlier_report, take_heartbeat
 from shedsill.testing.agents import make_agent_state
 
@@ -43,7 +43,7 @@
 
 def forward(state: AgentState, packet: Packet, now: float) -> list[Effect]:
     event = ForwardedPacket(
-        packet=packet, service=number_service(SERVICE), balancer=BALANCER, now=now
+        packet=packet, service=hash_service(SERVICE), balancer=BALANCER, now=now
     )
     return take_forwarded(state, event)
 
--- a/shedsill/tests/test_datagram_unheard.py
+++ b/shedsill/tests/test_datagram_unheard.py
@@ -13,7 +13,7 @@
 from shedsill._catalogue import LogEvent
 from shedsill.datagram._events import ReportsListed
 from shedsill.datagram._messages import Announcement
-from shedsill.datagram._nodes import LOST_AFTER
+from shedsill.datagram._failure_detection import LOST_AFTER_SECONDS
 from shedsill.testing.datagrams import World
 from shedsill.testing.flow_peers import Caller
 
@@ -75,7 +75,7 @@
     _caller, _holder, other = search_without_holder(world)
     world.run(0.4)
     lose_between(world, (other, B1))
-    world.run(LOST_AFTER - 0.45)
+    world.run(LOST_AFTER_SECONDS - 0.45)
     lose_between(world)
     world.run(1.0)
     assert not world.resets
@@ -86,7 +86,7 @@
     caller = open_flow(world)
     holder = world.find_holder(caller)
     lose_between(world, (holder, B1))
-    world.run(LOST_AFTER - 0.1)
+    world.run(LOST_AFTER_SECONDS - 0.1)
     removed = ReportsListed(reports=(), removed=(holder,), now=world.now)
     world._dispatch(B1, removed)
     world.run(0.05)
@@ -214,5 +214,5 @@
     world.run(2.0)
     lose_between(world)
     world.run(1.5)
-    assert state.introduced
+    assert state.peers_synced
     assert set(state.nodes.upstreams) == {A1, A2, A3, "10.2.0.1"}
--- a/shedsill/tests/test_platform_packets.py
+++ b/shedsill/tests/test_platform_packets.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from shedsill.datagram._forwarding import Route
+from shedsill.datagram._forwarding_table import Route
 from shedsill.datagram._packet import ACK, BOUNCED, RST, SYN
 from shedsill.platform.packets import HEAD_LENGTH, HeadCodec
 from shedsill.testing.flow_peers import check_packet, make_packet
--- a/shedsill/tests/test_platform_settings.py
+++ b/shedsill/tests/test_platform_settings.py
@@ -13,7 +13,7 @@
 
 from shedsill._addresses import Address
 from shedsill.datagram._events import Heartbeat, UpstreamLeft
-from shedsill.datagram._forwarding import ServiceShare, choose_service
+from shedsill.datagram._forwarding_table import ServiceShare, choose_service
 from shedsill.datagram._messages import Role, UpstreamState, decode_message
 from shedsill.errors import DecodeError, SettingError
 from shedsill.platform.heartbeats import InstanceCalls
