--- a/benchmarks/agents.py
+++ b/benchmarks/agents.py
@@ -50,7 +50,7 @@
 
 def _make_table(outbox: list[tuple[Address, bytes]]) -> FlowTable:
     def mint() -> bytes:
-        return KEYS.mint(Route(1, 1, 1), epoch=1, nonce=os.urandom(6))
+        return KEYS.make_connection_id(Route(1, 1, 1), epoch=1, nonce=os.urandom(6))
 
     hooks = FlowHooks(
         send=lambda caller, data, _balancer: outbox.append((caller, data)),
@@ -87,7 +87,7 @@
         for _ in range(3):
             for data, _address in client.datagrams_to_send(now=loop.time()):
                 deliver = Deliver(
-                    caller=caller, datagram=data, reply_to=BALANCER, fresh=True
+                    caller=caller, datagram=data, reply_to=BALANCER, can_open_connection=True
                 )
                 with meter.measure():
                     table.deliver(deliver)
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -19,7 +19,7 @@
     REPORTS_PER_HEARTBEAT,
     merge_reports,
 )
-from shedsill.http3._accepting import Inputs, accept
+from shedsill.http3._configuration_rules import AcceptanceInputs, accept_resources
 from shedsill.http3._configuration import (
     Configuration,
     decode_configuration,
@@ -27,7 +27,7 @@
 )
 from shedsill.http3._events import Tick
 from shedsill.http3._frames import Load, NodeReport, encode_frame
-from shedsill.http3._node import Vitals, make_answer, make_heartbeat
+from shedsill.http3._node import HeartbeatPayload, make_probe_answer, make_heartbeat
 from shedsill.http3._reducer import reduce
 from shedsill.http3._resources import Service, Upstream, UpstreamSet
 
@@ -37,7 +37,7 @@
 REPEATS = 5
 
 
-def make_inputs(upstreams: int) -> Inputs:
+def make_inputs(upstreams: int) -> AcceptanceInputs:
     """Return services of four upstreams each."""
     services = []
     sets = []
@@ -53,7 +53,7 @@
             for member in range(PER_SERVICE)
         )
         sets.append(UpstreamSet(name=name, service=name, upstreams=members))
-    return Inputs(services=tuple(services), sets=tuple(sets))
+    return AcceptanceInputs(services=tuple(services), upstream_sets=tuple(sets))
 
 
 def make_report(index: int) -> NodeReport:
@@ -102,10 +102,10 @@
     octets, accepting, decoding, memory = [], [], [], []
     for size in SIZES:
         inputs = make_inputs(size)
-        configuration = accept(Configuration(), inputs).configuration
+        configuration = accept_resources(Configuration(), inputs).configuration
         value = encode_configuration(configuration)
         octets.append(len(json.dumps(value)))
-        accepting.append(_time(lambda i=inputs, c=configuration: accept(c, i)) * 1e6)
+        accepting.append(_time(lambda i=inputs, c=configuration: accept_resources(c, i)) * 1e6)
         decoding.append(_time(lambda v=value: decode_configuration(v)) * 1e6)
         tracemalloc.start()
         kept = decode_configuration(value)
@@ -124,9 +124,9 @@
     """Time one beat of a balancer against upstreams, then against members."""
     by_upstream = []
     for size in SIZES:
-        configuration = accept(Configuration(), make_inputs(size)).configuration
+        configuration = accept_resources(Configuration(), make_inputs(size)).configuration
         by_upstream.append(_time_beat(make_state(configuration)) * 1e6)
-    configuration = accept(Configuration(), make_inputs(PER_SERVICE)).configuration
+    configuration = accept_resources(Configuration(), make_inputs(PER_SERVICE)).configuration
     by_member = []
     for size in SIZES:
         state = make_state(configuration)
@@ -145,16 +145,16 @@
 
 
 def _measure_heartbeat() -> list[Result]:
-    configuration = accept(Configuration(), make_inputs(PER_SERVICE)).configuration
+    configuration = accept_resources(Configuration(), make_inputs(PER_SERVICE)).configuration
     state = make_state(configuration)
     reports = [make_report(index) for index in range(REPORTS_PER_HEARTBEAT)]
     membership = merge_reports(state.node.membership, reports, 1.0)
     node = evolve(state.node, membership=membership)
-    vitals = Vitals(service=1, upstream=1, load=Load())
-    frame = make_heartbeat(node, vitals, now=1.0, seed=1)
+    payload = HeartbeatPayload(service=1, upstream=1, load=Load())
+    frame = make_heartbeat(node, payload, now=1.0, seed=1)
     octets = len(encode_frame(KEYS, frame))
     seconds = _time(lambda: [encode_frame(KEYS, frame) for _ in range(100)]) / 100
-    short = len(encode_frame(KEYS, make_answer(node, vitals)))
+    short = len(encode_frame(KEYS, make_probe_answer(node, payload)))
     per_second = 2 * FAN_OUT * (octets + short)
     return [
         Result("heartbeat, octets", float(octets), "B"),
--- a/benchmarks/datapath.py
+++ b/benchmarks/datapath.py
@@ -16,8 +16,8 @@
 from shedsill._limits import Rate
 from shedsill.coordination.lease import Lease
 from shedsill.coordination.platform import Call, Outcome, Unavailable
-from shedsill.http3._acceptance import Acceptor
-from shedsill.http3._accepting import Inputs, accept
+from shedsill.http3._acceptor import Acceptor
+from shedsill.http3._configuration_rules import AcceptanceInputs, accept_resources
 from shedsill.http3._balancer import BalancerState
 from shedsill.http3._configuration import Configuration
 from shedsill.http3._events import CallerDatagram, ConfigurationOffered
@@ -38,7 +38,7 @@
 REDUCER_EVENTS = 20_000
 FLOWS = 100_000
 UNLIMITED = FlowLimits(
-    caller=Rate(per_second=1e9, burst=1e9), total=Rate(per_second=1e9, burst=1e9)
+    per_caller=Rate(per_second=1e9, burst=1e9), per_service=Rate(per_second=1e9, burst=1e9)
 )
 
 
@@ -50,15 +50,15 @@
         for i in range(count)
     )
     group = UpstreamSet(name="intake", service="intake", upstreams=members)
-    return accept(
-        Configuration(), Inputs(services=(service,), sets=(group,))
+    return accept_resources(
+        Configuration(), AcceptanceInputs(services=(service,), upstream_sets=(group,))
     ).configuration
 
 
 def make_short_packet(upstream: int, incarnation: int = 1) -> bytes:
     """Return a datagram that a minted connection ID leads to an upstream."""
     route = Route(upstream, 1, incarnation)
-    cid = KEYS.mint(route, epoch=1, nonce=os.urandom(6))
+    cid = KEYS.make_connection_id(route, epoch=1, nonce=os.urandom(6))
     return bytes([0x40]) + cid + bytes(SIZE - 1 - len(cid))
 
 
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -16,11 +16,11 @@
 from benchmarks.placement import make_agent, make_steady
 from benchmarks.results import Result
 from shedsill._addresses import Address
-from shedsill.http3._accepting import Inputs, accept
+from shedsill.http3._configuration_rules import AcceptanceInputs, accept_resources
 from shedsill.http3._agent_state import AgentState
 from shedsill.http3._answers import RecordedAnswer
 from shedsill.http3._configuration import Configuration
-from shedsill.http3._effects import Answer, Refuse, StartUpstream
+from shedsill.http3._effects import SendAnswer, RefuseRequest, SendUpstreamRequest
 from shedsill.http3._events import (
     ConfigurationOffered,
     RequestArrived,
@@ -79,8 +79,8 @@
         )
         member = Upstream(name="u0", address="10.0.1.1:1000")
         group = UpstreamSet(name="s", service="s", upstreams=(member,))
-        inputs = Inputs(services=(service,), sets=(group,))
-        configuration = accept(Configuration(), inputs).configuration
+        inputs = AcceptanceInputs(services=(service,), upstream_sets=(group,))
+        configuration = accept_resources(Configuration(), inputs).configuration
         address = Address("10.0.1.1", 1000)
         self.state = make_agent("u0", address, TwoCandidates(), 0.0)
         self.dispatch(ConfigurationOffered(configuration=configuration, now=self.now))
@@ -93,11 +93,11 @@
         self.state, effects = reduce(self.state, event)
         for effect in effects:
             match effect:
-                case StartUpstream(request=request):
+                case SendUpstreamRequest(request=request):
                     self._start(request)
-                case Answer(request=request):
+                case SendAnswer(request=request):
                     self.counts[self.arrivals[request][1]].done += 1
-                case Refuse(request=request):
+                case RefuseRequest(request=request):
                     self.counts[self.arrivals[request][1]].refused += 1
 
     def _start(self, request: int) -> None:
@@ -144,7 +144,7 @@
                 path=f"/{name}",
                 key="",
                 fingerprint=b"",
-                whole=True,
+                body_complete=True,
                 now=self.now,
                 seed=self.generator.getrandbits(16),
             )
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -18,7 +18,7 @@
 from benchmarks.results import Result
 from shedsill._addresses import Address
 from shedsill._limits import Rate
-from shedsill.http3._accepting import Inputs, accept
+from shedsill.http3._configuration_rules import AcceptanceInputs, accept_resources
 from shedsill.http3._admission import Admission, note_failure
 from shedsill.http3._agent_state import AgentSettings, AgentState, get_load
 from shedsill.http3._balancer import BalancerState
@@ -65,7 +65,7 @@
 }
 
 
-def make_service(upstreams: int, *, limit: int = 2_000, slots: int = 3) -> Inputs:
+def make_service(upstreams: int, *, limit: int = 2_000, slots: int = 3) -> AcceptanceInputs:
     """Return the resources of one service."""
     service = Service(name="s", address="10.0.0.1:443", connections=limit, slots=slots)
     members = tuple(
@@ -73,7 +73,7 @@
         for index in range(upstreams)
     )
     group = UpstreamSet(name="s", service="s", upstreams=members)
-    return Inputs(services=(service,), sets=(group,))
+    return AcceptanceInputs(services=(service,), upstream_sets=(group,))
 
 
 def make_agent(name: str, address: Address, policy: Policy, slow_start: float):
@@ -97,7 +97,7 @@
     strategy: Strategy
     lag: float
     generator: random.Random
-    inputs: Inputs
+    inputs: AcceptanceInputs
     slow_start: float = 0.0
     now: float = 1_000.0
     configuration: Configuration = field(factory=Configuration)
@@ -113,10 +113,10 @@
     def __attrs_post_init__(self) -> None:
         self.configure(self.inputs)
 
-    def configure(self, inputs: Inputs) -> None:
+    def configure(self, inputs: AcceptanceInputs) -> None:
         """Accept resources and put them in force everywhere."""
         self.inputs = inputs
-        self.configuration = accept(self.configuration, inputs).configuration
+        self.configuration = accept_resources(self.configuration, inputs).configuration
         if not self.balancers:
             self.balancers = [make_state(self.configuration) for _ in range(BALANCERS)]
         offered = ConfigurationOffered(configuration=self.configuration, now=self.now)
@@ -226,11 +226,11 @@
                 candidates = list(rank_upstreams(candidates, 1, cid)[:2])
             case _:
                 return None
-        links = self.balancers[index].router.links
+        agents = self.balancers[index].router.agents
 
         def weigh(upstream) -> tuple[int, float]:
-            link = links.get(upstream.number)
-            flows = link.load.flows if link is not None else 0
+            agent = agents.get(upstream.number)
+            flows = agent.load.flows if agent is not None else 0
             return flows, self.generator.random()
 
         return min(candidates, key=weigh).number
--- a/properties/test_bytes.py
+++ b/properties/test_bytes.py
@@ -13,8 +13,8 @@
 from shedsill.http3._configuration import decode_configuration_text
 from shedsill.http3._events import CallerDatagram
 from shedsill.http3._frames import decode_frame
-from shedsill.http3._keys import KeyRing, seal_envelope
-from shedsill.http3._packets import read_packet
+from shedsill.http3._keys import KeyRing, sign_message
+from shedsill.http3._packets import read_packet_header
 from shedsill.http3._peers import (
     decode_handover,
     decode_peer_answer,
@@ -50,7 +50,7 @@
 @seeded
 @given(packets)
 def test_any_datagram_is_routed_or_dropped(datagram: bytes) -> None:
-    read_packet(datagram)
+    read_packet_header(datagram)
     event = CallerDatagram(
         service=1, caller=Address("10.9.0.1", 1), datagram=datagram, now=1.0
     )
@@ -63,7 +63,7 @@
 def test_any_message_between_nodes_is_decoded_or_refused(
     data: bytes, signed: bool
 ) -> None:
-    envelope = seal_envelope(KEYS, data) if signed else data
+    envelope = sign_message(KEYS, data) if signed else data
     for decode in (
         decode_frame,
         decode_peer_request,
@@ -77,7 +77,7 @@
 @seeded
 @given(st.text(max_size=80))
 def test_any_key_is_a_ticket_or_none(text: str) -> None:
-    assert KEYS.open_ticket(text) is None
+    assert KEYS.decrypt_ticket(text) is None
 
 
 @seeded
--- a/shedsill/_cli/daemons.py
+++ b/shedsill/_cli/daemons.py
@@ -97,11 +97,11 @@
         service_host=settings["service_host"],
         lease_time=check_number("--lease-time", settings["lease_time"], 0.2, 3600),
         limits=FlowLimits(
-            caller=read_rate("--caller-rate", settings["caller_rate"]),
-            total=read_rate("--flow-rate", settings["flow_rate"]),
+            per_caller=read_rate("--caller-rate", settings["caller_rate"]),
+            per_service=read_rate("--flow-rate", settings["flow_rate"]),
         ),
         settings=BalancerSettings(
-            quiet=check_number("--quiet", settings["quiet"], 0.1, 86_400)
+            stop_idle_timeout=check_number("--quiet", settings["quiet"], 0.1, 86_400)
         ),
     )
     platform = HttpPlatform(check_url("--platform", settings["platform"]))
--- a/shedsill/_cli/operator.py
+++ b/shedsill/_cli/operator.py
@@ -37,10 +37,10 @@
 )
 from shedsill.coordination.watch import watch_kinds
 from shedsill.errors import DocumentError
-from shedsill.http3._acceptance import CLUSTER_STATUS, STATUS_KIND
+from shedsill.http3._acceptor import CLUSTER_STATUS_NAME, STATUS_KIND
 from shedsill.http3._node import CONFIGURATION_KIND, CONFIGURATION_NAME
 from shedsill.http3._resources import (
-    KINDS,
+    RESOURCE_KINDS,
     Document,
     decode_spec,
     encode_spec,
@@ -214,8 +214,8 @@
 
 def _check_kind(kind: str) -> str:
     kind = kind.lower().rstrip("s")
-    if kind not in (*KINDS, NODE_KIND, STATUS_KIND, CONFIGURATION_KIND):
-        allowed = ", ".join((*KINDS, NODE_KIND, STATUS_KIND, CONFIGURATION_KIND))
+    if kind not in (*RESOURCE_KINDS, NODE_KIND, STATUS_KIND, CONFIGURATION_KIND):
+        allowed = ", ".join((*RESOURCE_KINDS, NODE_KIND, STATUS_KIND, CONFIGURATION_KIND))
         raise DocumentError("kind", kind, f"one of {allowed}")
     return kind
 
@@ -434,7 +434,7 @@
         accepted = index.get((CONFIGURATION_KIND, CONFIGURATION_NAME), {})
         shown = {
             "accepted_generation": accepted.get("generation", 0),
-            "cluster": index.get((STATUS_KIND, CLUSTER_STATUS), {}),
+            "cluster": index.get((STATUS_KIND, CLUSTER_STATUS_NAME), {}),
             "upstreams": [
                 {key: u[key] for key in ("number", "name", "address", "state")}
                 for u in accepted.get("upstreams", [])
--- a/shedsill/http3/__init__.py
+++ b/shedsill/http3/__init__.py
@@ -8,10 +8,10 @@
 ========================  ====================================================
 what                      modules
 ========================  ====================================================
-the reducer               ``_reducer``, ``_events``, ``_effects``, ``_purposes``
+the reducer               ``_reducer``, ``_events``, ``_effects``, ``_platform_purposes``
 every node                ``_node``, ``_status``, ``_frames``, ``_keys``
-configuration             ``_resources``, ``_configuration``, ``_accepting``,
-                          ``_acceptance``
+configuration             ``_resources``, ``_configuration``, ``_configuration_rules``,
+                          ``_acceptor``
 a balancer                ``_balancer``, ``_routing``, ``_packets``,
                           ``_placement``, ``_flows``
 an agent                  ``_agent``, ``_agent_state``, ``_requests``,
--- a/shedsill/http3/_acceptance.py
+++ b/shedsill/http3/_acceptor.py
@@ -25,13 +25,13 @@
     Watch,
 )
 from shedsill.errors import DecodeError, DocumentError
-from shedsill.http3._accepting import (
+from shedsill.http3._configuration_rules import (
     Acceptance,
-    Inputs,
+    AcceptanceInputs,
     InvalidResource,
     Verdict,
     VerdictKind,
-    accept,
+    accept_resources,
 )
 from shedsill.http3._configuration import (
     Configuration,
@@ -45,11 +45,11 @@
     CONFIGURATION_KIND,
     CONFIGURATION_NAME,
     Node,
-    is_forgotten,
+    is_lost,
 )
-from shedsill.http3._purposes import Purpose
+from shedsill.http3._platform_purposes import Purpose
 from shedsill.http3._resources import (
-    KINDS,
+    RESOURCE_KINDS,
     Action,
     Change,
     Service,
@@ -59,15 +59,15 @@
 from shedsill.http3._status import NODE_KIND, NodeStatus
 
 STATUS_KIND = "status"
-CLUSTER_STATUS = "cluster"
-WATCHED_KINDS = (*KINDS, NODE_KIND, CONFIGURATION_KIND)
+CLUSTER_STATUS_NAME = "cluster"
+WATCHED_KINDS = (*RESOURCE_KINDS, NODE_KIND, CONFIGURATION_KIND)
 LISTED_KINDS = (*WATCHED_KINDS, STATUS_KIND)
-WATCH_PATIENCE = 10.0
+WATCH_TIMEOUT_SECONDS = 10.0
 MAX_STATUS_WRITES = 20
-RETRY_PAUSE = 0.5
-MACHINES_INTERVAL = 3.0
-CLUSTER_STATUS_INTERVAL = 1.0
-MAX_CANDIDATES = 3
+RETRY_DELAY_SECONDS = 0.5
+MACHINES_INTERVAL_SECONDS = 3.0
+CLUSTER_STATUS_INTERVAL_SECONDS = 1.0
+MAX_LEASE_CANDIDATES = 3
 
 
 @frozen(kw_only=True)
@@ -76,36 +76,36 @@
 
     Attributes
     ----------
-    calling : frozenset of Purpose
+    pending_calls : frozenset of Purpose
         Calls that have not been answered.
     revision : int
         Highest revision of the platform seen.
-    current : bool
+    listing_processed : bool
         Whether the last listing has been dealt with, so that a watch is due.
-    failing : bool
+    platform_failing : bool
         Whether the last answer of the platform was none.
-    pending : Configuration or None
+    pending_configuration : Configuration or None
         What was written and is not yet known to be stored.
-    gone : frozenset of str
-        VMs that the platform's list does not have.
+    listed_machines : frozenset of str
+        VMs on the platform's last list.
     """
 
     lease: Lease
-    calling: frozenset[Purpose] = frozenset()
+    pending_calls: frozenset[Purpose] = frozenset()
     revision: int = -1
-    current: bool = False
-    next_list: float = 0.0
-    next_machines: float = 0.0
-    next_cluster: float = 0.0
-    pending: Configuration | None = None
-    leaving: frozenset[str] = frozenset()
-    present: frozenset[str] = frozenset()
-    failing: bool = False
-    cluster_version: int = 0
-    cluster_value: immutables.Map[str, Any] = field(factory=immutables.Map)
-
-
-def is_candidate(node: Node, now: float) -> bool:
+    listing_processed: bool = False
+    next_list_at: float = 0.0
+    next_machines_at: float = 0.0
+    next_cluster_status_at: float = 0.0
+    pending_configuration: Configuration | None = None
+    leaving_machines: frozenset[str] = frozenset()
+    listed_machines: frozenset[str] = frozenset()
+    platform_failing: bool = False
+    cluster_status_version: int = 0
+    cluster_status_value: immutables.Map[str, Any] = field(factory=immutables.Map)
+
+
+def is_lease_candidate(node: Node, now: float) -> bool:
     """Whether this balancer is among the few that try for the lease."""
     others = [
         member.report.name
@@ -113,7 +113,7 @@
         if member.report.balancer and not member.report.leaving
     ]
     names = sorted({*others, node.name})
-    return not node.stopping and node.name in names[:MAX_CANDIDATES]
+    return not node.stopping and node.name in names[:MAX_LEASE_CANDIDATES]
 
 
 def plan_calls(
@@ -123,85 +123,85 @@
     effects: list[Effect] = []
     if not is_held(acceptor.lease, now):
         return acceptor, effects
-    if _is_due(acceptor, Purpose.MACHINES, acceptor.next_machines, now):
-        acceptor = start_call(acceptor, Purpose.MACHINES)
+    if _is_due(acceptor, Purpose.MACHINES, acceptor.next_machines_at, now):
+        acceptor = record_call_started(acceptor, Purpose.MACHINES)
         effects.append(CallPlatform(purpose=Purpose.MACHINES, call=ListMachines()))
     acceptor, more = _plan_cluster_status(acceptor, node, now)
     effects += more
-    busy = {Purpose.LIST, Purpose.WATCH, Purpose.ACCEPT} & acceptor.calling
-    if busy or now < acceptor.next_list:
+    busy = {Purpose.LIST, Purpose.WATCH, Purpose.ACCEPT} & acceptor.pending_calls
+    if busy or now < acceptor.next_list_at:
         return acceptor, effects
-    if acceptor.current:
+    if acceptor.listing_processed:
         call = Watch(
-            kinds=WATCHED_KINDS, revision=acceptor.revision, patience=WATCH_PATIENCE
+            kinds=WATCHED_KINDS, revision=acceptor.revision, patience=WATCH_TIMEOUT_SECONDS
         )
         effects.append(CallPlatform(purpose=Purpose.WATCH, call=call))
-        return start_call(acceptor, Purpose.WATCH), effects
+        return record_call_started(acceptor, Purpose.WATCH), effects
     effects.append(
         CallPlatform(purpose=Purpose.LIST, call=ListCall(kinds=LISTED_KINDS))
     )
-    return start_call(acceptor, Purpose.LIST), effects
+    return record_call_started(acceptor, Purpose.LIST), effects
 
 
 def _is_due(acceptor: Acceptor, purpose: Purpose, at: float, now: float) -> bool:
-    return purpose not in acceptor.calling and now >= at
+    return purpose not in acceptor.pending_calls and now >= at
 
 
-def start_call(acceptor: Acceptor, purpose: Purpose) -> Acceptor:
+def record_call_started(acceptor: Acceptor, purpose: Purpose) -> Acceptor:
     """Note that a call was sent."""
-    return evolve(acceptor, calling=acceptor.calling | {purpose})
+    return evolve(acceptor, pending_calls=acceptor.pending_calls | {purpose})
 
 
-def end_call(acceptor: Acceptor, purpose: Purpose) -> Acceptor:
+def record_call_ended(acceptor: Acceptor, purpose: Purpose) -> Acceptor:
     """Note that a call was answered."""
-    return evolve(acceptor, calling=acceptor.calling - {purpose})
+    return evolve(acceptor, pending_calls=acceptor.pending_calls - {purpose})
 
 
-def list_again(acceptor: Acceptor, now: float, *, pause: float) -> Acceptor:
+def schedule_list(acceptor: Acceptor, now: float, *, delay: float) -> Acceptor:
     """Have the resources listed once more after a pause."""
-    return evolve(acceptor, current=False, next_list=now + pause)
+    return evolve(acceptor, listing_processed=False, next_list_at=now + delay)
 
 
-def take_machines(acceptor: Acceptor, machines: Machines, now: float) -> Acceptor:
+def record_machines(acceptor: Acceptor, machines: Machines, now: float) -> Acceptor:
     """Take in the platform's list of VMs."""
-    before = acceptor.leaving
+    before = acceptor.leaving_machines
     leaving = frozenset(m.name for m in machines.machines if m.leaving)
     present = frozenset(m.name for m in machines.machines)
     acceptor = evolve(
         acceptor,
-        leaving=leaving,
-        present=present,
-        next_machines=now + MACHINES_INTERVAL,
+        leaving_machines=leaving,
+        listed_machines=present,
+        next_machines_at=now + MACHINES_INTERVAL_SECONDS,
     )
     if leaving == before:
         return acceptor
-    return list_again(acceptor, now, pause=0.0)
+    return schedule_list(acceptor, now, delay=0.0)
 
 
-def take_listing(
+def handle_listing(
     acceptor: Acceptor, node: Node, listing: Listing, now: float
 ) -> tuple[Acceptor, list[Effect]]:
     """Work out the next configuration, or else write the statuses that differ."""
     if listing.revision < acceptor.revision:
-        return list_again(acceptor, now, pause=RETRY_PAUSE), []
+        return schedule_list(acceptor, now, delay=RETRY_DELAY_SECONDS), []
     acceptor = evolve(acceptor, revision=listing.revision)
     index = {(o.kind, o.name): o for o in listing.objects}
     stored = index.get((CONFIGURATION_KIND, CONFIGURATION_NAME))
-    base = _read_stored(stored)
+    base = _decode_stored(stored)
     if base is None or is_newer(node.configuration, base):
         base = node.configuration
     if _has_lost_resources(base, listing):
         fields = {"generation": base.generation}
         note = Note(event=LogEvent.RESOURCES_MISSING, fields=fields)
-        return evolve(acceptor, current=True), [note]
+        return evolve(acceptor, listing_processed=True), [note]
     inputs = _make_inputs(acceptor, node, listing, base, now)
-    acceptance = accept(base, inputs)
+    acceptance = accept_resources(base, inputs)
     wanted = acceptance.configuration
-    if stored is None or wanted != _read_stored(stored):
+    if stored is None or wanted != _decode_stored(stored):
         version = stored.version if stored else 0
         return _write_configuration(acceptor, wanted, base, version)
     acceptor, effects = _write_statuses(acceptor, acceptance, inputs, index)
-    return evolve(acceptor, current=True), effects
+    return evolve(acceptor, listing_processed=True), effects
 
 
 def _has_lost_resources(base: Configuration, listing: Listing) -> bool:
@@ -213,15 +213,15 @@
     return bool(base.services) and "service" not in names
 
 
-def read_accepted(listing: Listing) -> Configuration | None:
+def find_accepted_configuration(listing: Listing) -> Configuration | None:
     """Return the accepted configuration that a listing holds, if it has one."""
     for item in listing.objects:
         if (item.kind, item.name) == (CONFIGURATION_KIND, CONFIGURATION_NAME):
-            return _read_stored(item)
+            return _decode_stored(item)
     return None
 
 
-def _read_stored(stored: StoredObject | None) -> Configuration | None:
+def _decode_stored(stored: StoredObject | None) -> Configuration | None:
     if stored is None:
         return None
     try:
@@ -234,26 +234,26 @@
     acceptor: Acceptor, wanted: Configuration, base: Configuration, version: int
 ) -> tuple[Acceptor, list[Effect]]:
     if wanted.generation == 0:
-        return evolve(acceptor, current=True), []
+        return evolve(acceptor, listing_processed=True), []
     call = Put(
         kind=CONFIGURATION_KIND,
         name=CONFIGURATION_NAME,
         value=encode_configuration(wanted),
         expected=version,
     )
-    acceptor = evolve(start_call(acceptor, Purpose.ACCEPT), pending=wanted)
+    acceptor = evolve(record_call_started(acceptor, Purpose.ACCEPT), pending_configuration=wanted)
     return acceptor, [CallPlatform(purpose=Purpose.ACCEPT, call=call)]
 
 
 def _make_inputs(
     acceptor: Acceptor, node: Node, listing: Listing, base: Configuration, now: float
-) -> Inputs:
+) -> AcceptanceInputs:
     services: list[Service] = []
     sets: list[UpstreamSet] = []
     changes: list[Change] = []
     invalid: list[InvalidResource] = []
     for item in listing.objects:
-        if item.kind not in KINDS:
+        if item.kind not in RESOURCE_KINDS:
             continue
         try:
             resource = decode_spec(item.kind, item.name, item.value.get("spec", {}))
@@ -267,12 +267,12 @@
                 sets.append(resource)
             case Change():
                 changes.append(resource)
-    return Inputs(
+    return AcceptanceInputs(
         services=tuple(services),
-        sets=tuple(sets),
+        upstream_sets=tuple(sets),
         changes=tuple(changes),
         drained=_find_drained(acceptor, node, listing, base, now),
-        leaving=acceptor.leaving | _find_leaving(listing),
+        leaving=acceptor.leaving_machines | _find_leaving(listing),
         invalid=tuple(invalid),
     )
 
@@ -319,8 +319,8 @@
     for upstream in base.upstreams:
         if upstream.state != UpstreamState.DRAINING:
             continue
-        listed = not acceptor.present or upstream.name in acceptor.present
-        dead = not listed and is_forgotten(node, upstream.name, now)
+        listed = not acceptor.listed_machines or upstream.name in acceptor.listed_machines
+        dead = not listed and is_lost(node, upstream.name, now)
         if upstream.number in reported or dead:
             drained.add(upstream.number)
     return frozenset(drained)
@@ -329,7 +329,7 @@
 def _write_statuses(
     acceptor: Acceptor,
     acceptance: Acceptance,
-    inputs: Inputs,
+    inputs: AcceptanceInputs,
     index: dict[tuple[str, str], StoredObject],
 ) -> tuple[Acceptor, list[Effect]]:
     effects: list[Effect] = []
@@ -358,9 +358,9 @@
         if verdict.kind == VerdictKind.REJECTED:
             fields = {"resource": verdict.resource, "reason": verdict.reason}
             effects.append(Note(event=LogEvent.RESOURCE_REJECTED, fields=fields))
-    cluster = index.get((STATUS_KIND, CLUSTER_STATUS))
+    cluster = index.get((STATUS_KIND, CLUSTER_STATUS_NAME))
     if cluster is not None:
-        acceptor = evolve(acceptor, cluster_version=cluster.version)
+        acceptor = evolve(acceptor, cluster_status_version=cluster.version)
     return acceptor, effects[:MAX_STATUS_WRITES]
 
 
@@ -371,7 +371,7 @@
 def _get_phase(
     verdict: Verdict,
     configuration: Configuration,
-    inputs: Inputs,
+    inputs: AcceptanceInputs,
     index: dict[tuple[str, str], StoredObject],
 ) -> str:
     """Return ``accepted``, ``rejected``, or ``done`` for a finished change."""
@@ -399,9 +399,9 @@
 ) -> tuple[Acceptor, list[Effect]]:
     """Write how many nodes have the generation in force, when that changes."""
     generation = node.configuration.generation
-    if generation == 0 or not acceptor.current:
+    if generation == 0 or not acceptor.listing_processed:
         return acceptor, []
-    if not _is_due(acceptor, Purpose.STATUS, acceptor.next_cluster, now):
+    if not _is_due(acceptor, Purpose.STATUS, acceptor.next_cluster_status_at, now):
         return acceptor, []
     reports = [member.report for member in list_live(node.membership, now)]
     in_force = 1 + sum(1 for report in reports if report.generation >= generation)
@@ -411,16 +411,16 @@
         "nodes": 1 + len(reports),
         "holder": node.name,
     }
-    acceptor = evolve(acceptor, next_cluster=now + CLUSTER_STATUS_INTERVAL)
-    if immutables.Map(value) == acceptor.cluster_value:
+    acceptor = evolve(acceptor, next_cluster_status_at=now + CLUSTER_STATUS_INTERVAL_SECONDS)
+    if immutables.Map(value) == acceptor.cluster_status_value:
         return acceptor, []
     call = Put(
         kind=STATUS_KIND,
-        name=CLUSTER_STATUS,
+        name=CLUSTER_STATUS_NAME,
         value=value,
-        expected=acceptor.cluster_version,
+        expected=acceptor.cluster_status_version,
     )
-    acceptor = start_call(acceptor, Purpose.STATUS)
-    acceptor = evolve(acceptor, cluster_value=immutables.Map(value))
-    effect = CallPlatform(purpose=Purpose.STATUS, call=call, name=CLUSTER_STATUS)
+    acceptor = record_call_started(acceptor, Purpose.STATUS)
+    acceptor = evolve(acceptor, cluster_status_value=immutables.Map(value))
+    effect = CallPlatform(purpose=Purpose.STATUS, call=call, name=CLUSTER_STATUS_NAME)
     return acceptor, [effect]
--- a/shedsill/http3/_agent.py
+++ b/shedsill/http3/_agent.py
@@ -33,9 +33,9 @@
 )
 from shedsill.http3._frames import Heartbeat, ToUpstream
 from shedsill.http3._node import (
-    hear_frame,
-    make_answer,
-    offer_configuration,
+    handle_gossip,
+    make_probe_answer,
+    apply_newer_configuration,
     send_heartbeats,
 )
 from shedsill.http3._outcomes import add_origin, drop_expired, take_transfer
@@ -63,7 +63,7 @@
 
 
 def _beat(state: AgentState, event: Tick) -> Step:
-    if event.now < state.node.next_beat:
+    if event.now < state.node.next_heartbeat_at:
         return state, []
     state = forget_decisions(state, event.now)
     state = evolve(state, ledger=drop_expired(state.ledger, event.now))
@@ -77,7 +77,7 @@
 
 def take_configuration(state: AgentState, event: ConfigurationOffered) -> Step:
     """Apply a newer configuration to identity, limits and drain."""
-    node, effects = offer_configuration(state.node, event.configuration)
+    node, effects = apply_newer_configuration(state.node, event.configuration)
     if node.configuration is state.node.configuration:
         return evolve(state, node=node), effects
     was_known = state.upstream != 0
@@ -139,7 +139,7 @@
 
 def take_any_frame(state: AgentState, event: FrameReceived) -> Step:
     """Take in a frame from a balancer or another agent."""
-    node, effects = hear_frame(state.node, event.frame, event.source, event.now)
+    node, effects = handle_gossip(state.node, event.frame, event.source, event.now)
     state = evolve(state, node=node)
     match event.frame:
         case ToUpstream() as frame:
@@ -157,7 +157,7 @@
         state = note_reply_path(state, event.source, event.now, passed=False)
     if not frame.probe:
         return state, []
-    answer = make_answer(state.node, get_vitals(state))
+    answer = make_probe_answer(state.node, get_vitals(state))
     return state, [Send(destination=event.source, frame=answer)]
 
 
--- a/shedsill/http3/_accepting.py
+++ b/shedsill/http3/_configuration_rules.py
@@ -1,6 +1,6 @@
 """How stored resources become the next accepted configuration.
 
-`accept` is a pure function of the configuration in force and the resources now
+`accept_resources` is a pure function of the configuration in force and the resources now
 stored.  It never reuses an upstream number or a service number, keeps an
 upstream that was taken out of its set until the agent beside it reports that
 its last flow has ended, and leaves the last accepted form of a resource in
@@ -67,8 +67,8 @@
 
 
 @frozen(kw_only=True)
-class Inputs:
-    """All that `accept` looks at beside the configuration in force.
+class AcceptanceInputs:
+    """All that `accept_resources` looks at beside the configuration in force.
 
     Attributes
     ----------
@@ -81,14 +81,14 @@
     """
 
     services: tuple[Service, ...] = ()
-    sets: tuple[UpstreamSet, ...] = ()
+    upstream_sets: tuple[UpstreamSet, ...] = ()
     changes: tuple[Change, ...] = ()
     drained: frozenset[int] = frozenset()
     leaving: frozenset[str] = frozenset()
     invalid: tuple[InvalidResource, ...] = ()
 
 
-def accept(previous: Configuration, inputs: Inputs) -> Acceptance:
+def accept_resources(previous: Configuration, inputs: AcceptanceInputs) -> Acceptance:
     """Work out the next configuration.
 
     Returns
@@ -100,10 +100,10 @@
     Examples
     --------
     >>> service = Service(name="intake", address="127.0.0.1:443")
-    >>> accepted = accept(Configuration(), Inputs(services=(service,)))
+    >>> accepted = accept_resources(Configuration(), AcceptanceInputs(services=(service,)))
     >>> accepted.configuration.generation
     1
-    >>> again = accept(accepted.configuration, Inputs(services=(service,)))
+    >>> again = accept_resources(accepted.configuration, AcceptanceInputs(services=(service,)))
     >>> again.configuration.generation
     1
     """
@@ -118,7 +118,7 @@
 
 
 def _accept_services(
-    previous: Configuration, inputs: Inputs, verdicts: list[Verdict]
+    previous: Configuration, inputs: AcceptanceInputs, verdicts: list[Verdict]
 ) -> Configuration:
     numbers = {s.name: s for s in previous.services}
     wanted_addresses: dict[str, str] = {}
@@ -155,7 +155,7 @@
 
 
 def _accept_sets(
-    draft: Configuration, inputs: Inputs, verdicts: list[Verdict]
+    draft: Configuration, inputs: AcceptanceInputs, verdicts: list[Verdict]
 ) -> Configuration:
     services = {s.name: s.number for s in draft.services}
     present = {service.name for service in inputs.services}
@@ -165,7 +165,7 @@
     kept: dict[int, AcceptedUpstream] = {}
     following = draft.next_upstream
     refused = _find_refused(inputs, services)
-    for group in sorted(inputs.sets, key=lambda group: group.name):
+    for group in sorted(inputs.upstream_sets, key=lambda group: group.name):
         reason = _find_set_fault(group, services, present, owners)
         if reason:
             verdicts.append(_reject("upstreamset", group.name, reason))
@@ -202,7 +202,7 @@
     )
 
 
-def _find_refused(inputs: Inputs, services: dict[str, int]) -> set[int]:
+def _find_refused(inputs: AcceptanceInputs, services: dict[str, int]) -> set[int]:
     """Return the services whose upstreams stay because a set cannot be read."""
     refused: set[int] = set()
     for entry in inputs.invalid:
@@ -243,7 +243,7 @@
 
 
 def _accept_changes(
-    draft: Configuration, inputs: Inputs, verdicts: list[Verdict]
+    draft: Configuration, inputs: AcceptanceInputs, verdicts: list[Verdict]
 ) -> Configuration:
     draining: set[str] = set()
     stopping: set[str] = set()
--- a/shedsill/http3/_drain.py
+++ b/shedsill/http3/_drain.py
@@ -11,7 +11,7 @@
     AnnounceDrain,
     Effect,
     Exit,
-    HandOver,
+    SendHandover,
     Note,
 )
 from shedsill.http3._events import HandoverDone
@@ -107,7 +107,7 @@
     state = evolve(state, leaving=asked)
     if successor is None:
         return state, []
-    effect = HandOver(
+    effect = SendHandover(
         peer=successor.socket_address,
         upstream=successor.number,
         transfers=leaving.outgoing,
@@ -118,7 +118,7 @@
 def take_handover_result(state: AgentState, event: HandoverDone) -> Step:
     """Note whether the successor has the record."""
     leaving = state.leaving
-    if leaving is None or not event.taken or not leaving.outgoing:
+    if leaving is None or not event.accepted or not leaving.outgoing:
         return state, []
     count = sum(len(transfer.records) for transfer in leaving.outgoing)
     state = evolve(state, leaving=evolve(leaving, outgoing=()))
--- a/shedsill/http3/_effects.py
+++ b/shedsill/http3/_effects.py
@@ -11,7 +11,7 @@
 from shedsill.http3._configuration import Configuration
 from shedsill.http3._frames import Frame
 from shedsill.http3._outcomes import Transfer
-from shedsill.http3._purposes import Purpose
+from shedsill.http3._platform_purposes import Purpose
 
 
 @frozen(kw_only=True)
@@ -37,14 +37,14 @@
 
     Attributes
     ----------
-    fresh : bool
+    can_open_connection : bool
         Whether it may open a connection without a Retry token.
     """
 
     caller: Address
     datagram: bytes
     reply_to: Address
-    fresh: bool
+    can_open_connection: bool
 
 
 @frozen(kw_only=True)
@@ -107,31 +107,31 @@
 
 
 @frozen(kw_only=True)
-class StartUpstream:
+class SendUpstreamRequest:
     """Send a request to the upstream.
 
     Attributes
     ----------
-    hold_answer : bool
+    buffer_answer : bool
         Whether to collect the whole answer before any of it is passed on.
     ticket : str
         For the answer's ``shedsill-ticket``; a later request may use it.
     """
 
     request: int
-    hold_answer: bool
+    buffer_answer: bool
     ticket: str
 
 
 @frozen(kw_only=True)
-class AbortUpstream:
+class AbortUpstreamRequest:
     """Close the upstream connection of a request."""
 
     request: int
 
 
 @frozen(kw_only=True)
-class Answer:
+class SendAnswer:
     """Give a request its whole answer."""
 
     request: int
@@ -141,7 +141,7 @@
 
 
 @frozen(kw_only=True)
-class Refuse:
+class RefuseRequest:
     """Give a request its final answer without one of the upstream's.
 
     Attributes
@@ -159,14 +159,14 @@
 
 
 @frozen(kw_only=True)
-class CutAnswer:
+class ResetAnswerStream:
     """Reset a stream whose answer cannot be completed."""
 
     request: int
 
 
 @frozen(kw_only=True)
-class PassRequest:
+class ForwardRequest:
     """Hand a request to the agent of another upstream."""
 
     request: int
@@ -175,14 +175,14 @@
 
 
 @frozen(kw_only=True)
-class DeclineRequest:
+class DeclineForwardedRequest:
     """Tell the agent that passed a request on that its record is elsewhere."""
 
     request: int
 
 
 @frozen(kw_only=True)
-class HandOver:
+class SendHandover:
     """Hand the record of outcomes to the successor."""
 
     peer: Address
@@ -206,14 +206,14 @@
     | ApplyConfiguration
     | PullConfiguration
     | CallPlatform
-    | StartUpstream
-    | AbortUpstream
-    | Answer
-    | Refuse
-    | CutAnswer
-    | PassRequest
-    | DeclineRequest
-    | HandOver
+    | SendUpstreamRequest
+    | AbortUpstreamRequest
+    | SendAnswer
+    | RefuseRequest
+    | ResetAnswerStream
+    | ForwardRequest
+    | DeclineForwardedRequest
+    | SendHandover
     | AnnounceDrain
     | Note
     | Exit
--- a/shedsill/http3/_events.py
+++ b/shedsill/http3/_events.py
@@ -15,7 +15,7 @@
 from shedsill.http3._configuration import Configuration
 from shedsill.http3._frames import Frame
 from shedsill.http3._outcomes import Transfer
-from shedsill.http3._purposes import Purpose
+from shedsill.http3._platform_purposes import Purpose
 
 
 @frozen(kw_only=True)
@@ -107,7 +107,7 @@
         Text of ``Idempotency-Key``; empty where there was none.
     fingerprint : bytes
         Digest of method, path and body.
-    whole : bool
+    body_complete : bool
         Whether the whole body has arrived.
     """
 
@@ -118,7 +118,7 @@
     path: str
     key: str
     fingerprint: bytes
-    whole: bool
+    body_complete: bool
     now: float
     seed: int
 
@@ -144,7 +144,7 @@
 
 
 @frozen(kw_only=True)
-class UpstreamBegan:
+class UpstreamAnswerStarted:
     """The first part of an answer that is not held back went to the caller."""
 
     request: int
@@ -210,13 +210,13 @@
 
     Attributes
     ----------
-    gone : bool
+    not_accepted : bool
         Whether it certainly did not take the request: it could not be reached,
         or it has handed its record over.
     """
 
     request: int
-    gone: bool
+    not_accepted: bool
     now: float
     seed: int
 
@@ -233,7 +233,7 @@
 class HandoverDone:
     """The successor has taken the record, or not."""
 
-    taken: bool
+    accepted: bool
     now: float
 
 
@@ -249,7 +249,7 @@
     | FlowClosed
     | RequestArrived
     | RequestCancelled
-    | UpstreamBegan
+    | UpstreamAnswerStarted
     | UpstreamAnswered
     | UpstreamFailed
     | UpstreamLoadRead
--- a/shedsill/http3/_flows.py
+++ b/shedsill/http3/_flows.py
@@ -21,8 +21,8 @@
 )
 from shedsill.http3._events import FrameReceived
 from shedsill.http3._frames import Candidate, ToUpstream
-from shedsill.http3._packets import Packet, PacketKind, read_packet
-from shedsill.http3._placement import SLOW_START_FLOOR, choose_alternate, rank_upstreams
+from shedsill.http3._packets import PacketHeader, PacketKind, read_packet_header
+from shedsill.http3._placement import MIN_SLOW_START_SHARE, is_alternate_preferred, rank_upstreams
 
 DECISION_LIFETIME = 10.0
 PASS_PATIENCE = 0.8
@@ -41,12 +41,12 @@
     if frame.upstream != state.upstream or frame.service != state.service:
         fields = {"upstream": frame.upstream, "service": frame.service}
         return state, [Note(event=LogEvent.DATAGRAM_MISROUTED, fields=fields)]
-    packet = read_packet(frame.datagram)
+    packet = read_packet_header(frame.datagram)
     if packet is None:
         fields = {"octets": len(frame.datagram)}
         return state, [Note(event=LogEvent.DATAGRAM_MALFORMED, fields=fields)]
     reply_to = frame.reply_to or event.source
-    for route in state.keys.decode(packet.cid):
+    for route in state.keys.decode_connection_id(packet.cid):
         if (route.upstream, route.service) != (state.upstream, state.service):
             continue
         if route.incarnation == state.incarnation:
@@ -60,11 +60,11 @@
 
 def _deliver(frame: ToUpstream, reply_to: Address, *, fresh: bool) -> Deliver:
     return Deliver(
-        caller=frame.caller, datagram=frame.datagram, reply_to=reply_to, fresh=fresh
+        caller=frame.caller, datagram=frame.datagram, reply_to=reply_to, can_open_connection=fresh
     )
 
 
-def _reset_flow(packet: Packet, frame: ToUpstream, reply_to: Address) -> list[Effect]:
+def _reset_flow(packet: PacketHeader, frame: ToUpstream, reply_to: Address) -> list[Effect]:
     if packet.kind != PacketKind.SHORT:
         return []
     effect = ResetFlow(
@@ -80,7 +80,7 @@
     state: AgentState,
     event: FrameReceived,
     frame: ToUpstream,
-    packet: Packet,
+    packet: PacketHeader,
     reply_to: Address,
 ) -> Step:
     decision = state.decisions.get(packet.cid)
@@ -104,7 +104,7 @@
     state: AgentState,
     event: FrameReceived,
     frame: ToUpstream,
-    packet: Packet,
+    packet: PacketHeader,
     decision: Placed,
     reply_to: Address,
 ) -> Step:
@@ -125,7 +125,7 @@
     state: AgentState,
     event: FrameReceived,
     frame: ToUpstream,
-    packet: Packet,
+    packet: PacketHeader,
     reply_to: Address,
 ) -> Step:
     load = get_load(state)
@@ -133,7 +133,7 @@
     target = None
     if not frame.passed:
         state, alternate = _weigh_alternate(state, frame.alternate, event.now)
-        if choose_alternate(state.policy, load, alternate, warmth=warmth):
+        if is_alternate_preferred(state.policy, load, alternate, slow_start_share=warmth):
             assert alternate is not None
             target = state.node.configuration.find_upstream(alternate.upstream)
         elif not load.open:
@@ -188,7 +188,7 @@
     state: AgentState,
     event: FrameReceived,
     frame: ToUpstream,
-    packet: Packet,
+    packet: PacketHeader,
     reply_to: Address,
 ) -> Step:
     state = _remember(state, packet, state.upstream, event.now)
@@ -197,7 +197,7 @@
     return state, [note, _deliver(frame, reply_to, fresh=True)]
 
 
-def _find_other(state: AgentState, packet: Packet) -> AcceptedUpstream | None:
+def _find_other(state: AgentState, packet: PacketHeader) -> AcceptedUpstream | None:
     """Return the candidate that a balancer with newer knowledge would choose."""
     ranked = rank_upstreams(
         state.node.configuration.list_upstreams(state.service),
@@ -223,7 +223,7 @@
 
 
 def _remember(
-    state: AgentState, packet: Packet, upstream: int, now: float
+    state: AgentState, packet: PacketHeader, upstream: int, now: float
 ) -> AgentState:
     decisions = state.decisions
     if len(decisions) >= MAX_DECISIONS:
@@ -238,7 +238,7 @@
     if span <= 0.0:
         return 1.0
     share = (now - state.started) / span
-    return min(max(share, SLOW_START_FLOOR), 1.0)
+    return min(max(share, MIN_SLOW_START_SHARE), 1.0)
 
 
 def forget_decisions(state: AgentState, now: float) -> AgentState:
--- a/shedsill/http3/_frames.py
+++ b/shedsill/http3/_frames.py
@@ -10,7 +10,7 @@
 from shedsill._addresses import Address
 from shedsill.coordination.membership import NodeReport
 from shedsill.errors import DecodeError
-from shedsill.http3._keys import KeyRing, open_envelope, seal_envelope
+from shedsill.http3._keys import KeyRing, verify_message, sign_message
 
 capnp.remove_import_hook()
 SCHEMA = capnp.load(str(pathlib.Path(__file__).with_name("frames.capnp")))
@@ -116,7 +116,7 @@
             _fill_load(body.init("load"), frame.load)
         case Heartbeat():
             _fill_heartbeat(message.init("heartbeat"), frame)
-    return seal_envelope(ring, message.to_bytes())
+    return sign_message(ring, message.to_bytes())
 
 
 def _fill_to_upstream(body: capnp._DynamicStructBuilder, frame: ToUpstream) -> None:
@@ -167,7 +167,7 @@
     DecodeError
         If the tag is wrong or the message is not a frame.
     """
-    message = open_envelope(ring, data)
+    message = verify_message(ring, data)
     try:
         with SCHEMA.Frame.from_bytes(message) as reader:
             return _read_frame(reader)
--- a/shedsill/http3/_keys.py
+++ b/shedsill/http3/_keys.py
@@ -33,9 +33,9 @@
 
 CONNECTION_ID_LENGTH = 17
 BLOCK_LENGTH = 16
-EPOCH_SLOTS = 7
-LENGTH_BITS = 0x1F
-EPOCH_SHIFT = 5
+KEY_SLOTS = 7
+LENGTH_MASK = 0x1F
+KEY_SLOT_SHIFT = 5
 SECRET_LENGTH = 32
 MAC_LENGTH = 16
 RESET_TOKEN_LENGTH = 16
@@ -69,14 +69,14 @@
     ----------
     number : int
         Unique within one incarnation; 64 bits.
-    expires : float
+    expires_at : float
         Wall-clock seconds after which a repeat is answered as unknown.
     """
 
     upstream: int
     incarnation: int
     number: int
-    expires: float
+    expires_at: float
 
 
 def parse_secret(setting: str, text: str) -> bytes:
@@ -109,67 +109,67 @@
     Examples
     --------
     >>> ring = KeyRing((bytes(32),))
-    >>> cid = ring.mint(Route(7, 2, 99), epoch=1, nonce=b"abcdef")
+    >>> cid = ring.make_connection_id(Route(7, 2, 99), epoch=1, nonce=b"abcdef")
     >>> len(cid)
     17
-    >>> ring.decode(cid)
+    >>> ring.decode_connection_id(cid)
     (Route(upstream=7, service=2, incarnation=99),)
     """
 
     secrets: tuple[bytes, ...] = field(repr=False)
 
-    def mint(self, route: Route, *, epoch: int, nonce: bytes) -> bytes:
+    def make_connection_id(self, route: Route, *, epoch: int, nonce: bytes) -> bytes:
         """Make a connection ID; `nonce` has 6 octets."""
-        slot = epoch % EPOCH_SLOTS
+        slot = epoch % KEY_SLOTS
         block = _BLOCK.pack(route.upstream, route.service, route.incarnation, nonce)
         encryptor = _make_cipher(self.secrets[0], slot).encryptor()
-        first = (slot << EPOCH_SHIFT) | BLOCK_LENGTH
+        first = (slot << KEY_SLOT_SHIFT) | BLOCK_LENGTH
         return bytes((first,)) + encryptor.update(block)
 
-    def decode(self, cid: bytes) -> tuple[Route, ...]:
+    def decode_connection_id(self, cid: bytes) -> tuple[Route, ...]:
         """Return the routes that a connection ID may carry, likeliest first.
 
         An ID that no agent minted decodes to numbers that no configuration
         holds, but for a chance of about one in a billion.
         """
-        if len(cid) != CONNECTION_ID_LENGTH or cid[0] & LENGTH_BITS != BLOCK_LENGTH:
+        if len(cid) != CONNECTION_ID_LENGTH or cid[0] & LENGTH_MASK != BLOCK_LENGTH:
             return ()
-        slot = cid[0] >> EPOCH_SHIFT
-        if slot >= EPOCH_SLOTS:
+        slot = cid[0] >> KEY_SLOT_SHIFT
+        if slot >= KEY_SLOTS:
             return ()
-        return tuple(self._decode(secret, slot, cid) for secret in self.secrets)
+        return tuple(self._decode_route(secret, slot, cid) for secret in self.secrets)
 
-    def _decode(self, secret: bytes, slot: int, cid: bytes) -> Route:
+    def _decode_route(self, secret: bytes, slot: int, cid: bytes) -> Route:
         block = _make_decryptor(secret, slot).update(cid[1:])
         upstream, service, incarnation, _nonce = _BLOCK.unpack(block)
         return Route(upstream, service, incarnation)
 
     def make_reset_token(self, cid: bytes) -> bytes:
         """Return the stateless reset token that belongs to a connection ID."""
-        key = _derive(self.secrets[0], b"reset", 32)
+        key = _derive_key(self.secrets[0], b"reset", 32)
         digest = hashlib.blake2b(cid, key=key, digest_size=RESET_TOKEN_LENGTH)
         return digest.digest()
 
-    def sign(self, message: bytes) -> bytes:
+    def make_tag(self, message: bytes) -> bytes:
         """Return the authentication tag of a frame between nodes."""
         return _make_mac(self.secrets[0], message)
 
-    def verify(self, tag: bytes, message: bytes) -> bool:
+    def verify_tag(self, tag: bytes, message: bytes) -> bool:
         """Whether a tag was made with one of the secrets."""
         return any(
             hmac.compare_digest(_make_mac(secret, message), tag)
             for secret in self.secrets
         )
 
-    def seal_ticket(self, ticket: Ticket) -> str:
+    def encrypt_ticket(self, ticket: Ticket) -> str:
         """Encrypt a ticket into text that fits in a header."""
         plain = _TICKET.pack(
-            ticket.upstream, ticket.incarnation, ticket.number, ticket.expires
+            ticket.upstream, ticket.incarnation, ticket.number, ticket.expires_at
         )
-        sealed = AESSIV(_derive(self.secrets[0], b"ticket", 32)).encrypt(plain, None)
+        sealed = AESSIV(_derive_key(self.secrets[0], b"ticket", 32)).encrypt(plain, None)
         return base64.urlsafe_b64encode(sealed).decode().rstrip("=")
 
-    def open_ticket(self, text: str) -> Ticket | None:
+    def decrypt_ticket(self, text: str) -> Ticket | None:
         """Decrypt a ticket; None where no agent of this cluster issued it."""
         try:
             sealed = base64.urlsafe_b64decode(text + "=" * (-len(text) % 4))
@@ -177,7 +177,7 @@
             return None
         for secret in self.secrets:
             try:
-                plain = AESSIV(_derive(secret, b"ticket", 32)).decrypt(sealed, None)
+                plain = AESSIV(_derive_key(secret, b"ticket", 32)).decrypt(sealed, None)
             except (InvalidTag, ValueError):
                 continue
             return Ticket(*_TICKET.unpack(plain))
@@ -185,14 +185,14 @@
 
 
 @functools.lru_cache(maxsize=64)
-def _derive(secret: bytes, purpose: bytes, length: int) -> bytes:
+def _derive_key(secret: bytes, purpose: bytes, length: int) -> bytes:
     kdf = HKDF(algorithm=hashes.SHA256(), length=length, salt=None, info=purpose)
     return kdf.derive(secret)
 
 
 @functools.lru_cache(maxsize=64)
 def _make_cipher(secret: bytes, slot: int) -> Cipher:
-    key = _derive(secret, b"connection-id %d" % slot, 16)
+    key = _derive_key(secret, b"connection-id %d" % slot, 16)
     return Cipher(algorithms.AES(key), modes.ECB())
 
 
@@ -203,11 +203,11 @@
 
 
 def _make_mac(secret: bytes, message: bytes) -> bytes:
-    key = _derive(secret, b"frame", 32)
+    key = _derive_key(secret, b"frame", 32)
     return hashlib.blake2b(message, key=key, digest_size=MAC_LENGTH).digest()
 
 
-def open_envelope(ring: KeyRing, envelope: bytes) -> bytes:
+def verify_message(ring: KeyRing, signed: bytes) -> bytes:
     """Check the tag in front of a message and return the message.
 
     Raises
@@ -215,12 +215,12 @@
     DecodeError
         If the tag is missing or wrong.
     """
-    tag, message = envelope[:MAC_LENGTH], envelope[MAC_LENGTH:]
-    if len(tag) < MAC_LENGTH or not ring.verify(tag, message):
-        raise DecodeError(f"an envelope of {len(envelope)} octets has a bad tag")
+    tag, message = signed[:MAC_LENGTH], signed[MAC_LENGTH:]
+    if len(tag) < MAC_LENGTH or not ring.verify_tag(tag, message):
+        raise DecodeError(f"an envelope of {len(signed)} octets has a bad tag")
     return message
 
 
-def seal_envelope(ring: KeyRing, message: bytes) -> bytes:
+def sign_message(ring: KeyRing, message: bytes) -> bytes:
     """Put the authentication tag in front of a message."""
-    return ring.sign(message) + message
+    return ring.make_tag(message) + message
--- a/shedsill/http3/_node.py
+++ b/shedsill/http3/_node.py
@@ -41,10 +41,10 @@
 )
 from shedsill.http3._events import PlatformAnswered
 from shedsill.http3._frames import Frame, Heartbeat, Load, NodeReport
-from shedsill.http3._purposes import Purpose
+from shedsill.http3._platform_purposes import Purpose
 
-BEAT_INTERVAL = 1.0
-READ_INTERVAL = 1.0
+HEARTBEAT_INTERVAL_SECONDS = 1.0
+CONFIGURATION_READ_INTERVAL_SECONDS = 1.0
 CONFIGURATION_KIND = "configuration"
 CONFIGURATION_NAME = "accepted"
 
@@ -55,14 +55,14 @@
 
     Attributes
     ----------
-    seeds : tuple of Address
+    seed_addresses : tuple of Address
         Peers from the settings, for the time before others are known.
-    next_beat : float
+    next_heartbeat_at : float
         Local time of the next heartbeat.
-    next_read : float
+    next_configuration_read_at : float
         Local time of the next read of the accepted configuration, while there
         is none.
-    listening_since : float or None
+    peers_live_since : float or None
         Since when, at each beat, some other node had been heard of lately; None
         where none was at the last one.
     stopping : bool
@@ -73,19 +73,19 @@
     address: Address
     balancer: bool
     incarnation: int
-    seeds: tuple[Address, ...] = ()
+    seed_addresses: tuple[Address, ...] = ()
     configuration: Configuration = field(factory=Configuration)
     spread: Spread = field(factory=Spread)
     membership: Membership = field(factory=Membership)
     beat: int = 0
-    next_beat: float = 0.0
-    next_read: float = 0.0
-    listening_since: float | None = None
+    next_heartbeat_at: float = 0.0
+    next_configuration_read_at: float = 0.0
+    peers_live_since: float | None = None
     stopping: bool = False
 
 
 @frozen(kw_only=True)
-class Vitals:
+class HeartbeatPayload:
     """What a heartbeat says of its sender beside the membership."""
 
     service: int = 0
@@ -106,30 +106,30 @@
     )
 
 
-def make_heartbeat(node: Node, vitals: Vitals, *, now: float, seed: int) -> Heartbeat:
+def make_heartbeat(node: Node, payload: HeartbeatPayload, *, now: float, seed: int) -> Heartbeat:
     """Return a heartbeat that passes on what this node knows of others."""
     reports = choose_reports(node.membership, make_report(node), now, seed)
-    return _fill_heartbeat(node, vitals, reports, probe=True)
+    return _fill_heartbeat(node, payload, reports, probe=True)
 
 
-def make_probe(node: Node, vitals: Vitals) -> Heartbeat:
+def make_probe(node: Node, payload: HeartbeatPayload) -> Heartbeat:
     """Return a short heartbeat that asks a peer whether it is alive."""
-    return _fill_heartbeat(node, vitals, (make_report(node),), probe=True)
+    return _fill_heartbeat(node, payload, (make_report(node),), probe=True)
 
 
-def make_answer(node: Node, vitals: Vitals) -> Heartbeat:
+def make_probe_answer(node: Node, payload: HeartbeatPayload) -> Heartbeat:
     """Return the short heartbeat that answers one of a peer."""
-    return _fill_heartbeat(node, vitals, (make_report(node),), probe=False)
+    return _fill_heartbeat(node, payload, (make_report(node),), probe=False)
 
 
 def _fill_heartbeat(
-    node: Node, vitals: Vitals, reports: tuple[NodeReport, ...], *, probe: bool
+    node: Node, payload: HeartbeatPayload, reports: tuple[NodeReport, ...], *, probe: bool
 ) -> Heartbeat:
     return Heartbeat(
         generation=node.configuration.generation,
-        service=vitals.service,
-        upstream=vitals.upstream,
-        load=vitals.load,
+        service=payload.service,
+        upstream=payload.upstream,
+        load=payload.load,
         reports=reports,
         probe=probe,
     )
@@ -137,8 +137,8 @@
 
 def send_heartbeats(
     node: Node,
-    vitals: Vitals,
-    extra: Iterable[Address] = (),
+    payload: HeartbeatPayload,
+    probed: Iterable[Address] = (),
     *,
     now: float,
     seed: int,
@@ -147,60 +147,60 @@
 
     Parameters
     ----------
-    extra : iterable of Address
+    probed : iterable of Address
         Peers that have to be asked whether they are alive.
     """
-    if now < node.next_beat:
+    if now < node.next_heartbeat_at:
         return node, []
-    silent = _find_silent(node, now)
+    silent = _log_silent_members(node, now)
     node = evolve(
         node,
         beat=node.beat + 1,
-        next_beat=now + BEAT_INTERVAL,
+        next_heartbeat_at=now + HEARTBEAT_INTERVAL_SECONDS,
         membership=forget_silent(node.membership, now),
-        listening_since=_find_listening_since(node, now),
+        peers_live_since=_find_peers_live_since(node, now),
     )
-    peers = choose_peers(list_peers(node, now), node.address, seed)
-    frame = make_heartbeat(node, vitals, now=now, seed=seed)
+    peers = choose_peers(list_peer_groups(node, now), node.address, seed)
+    frame = make_heartbeat(node, payload, now=now, seed=seed)
     effects: list[Effect] = [Send(destination=peer, frame=frame) for peer in peers]
-    probe = make_probe(node, vitals)
-    asked = sorted(set(extra) - set(peers))
+    probe = make_probe(node, payload)
+    asked = sorted(set(probed) - set(peers))
     effects += [Send(destination=peer, frame=probe) for peer in asked]
     return node, silent + effects
 
 
-def _find_listening_since(node: Node, now: float) -> float | None:
+def _find_peers_live_since(node: Node, now: float) -> float | None:
     if not list_live(node.membership, now):
         return None
-    return now if node.listening_since is None else node.listening_since
+    return now if node.peers_live_since is None else node.peers_live_since
 
 
-def is_forgotten(node: Node, name: str, now: float) -> bool:
+def is_lost(node: Node, name: str, now: float) -> bool:
     """Whether a member was not heard of by any node for a minute.
 
     A node that has just started, or has heard nobody itself, cannot tell.
     """
-    if name in node.membership.members or node.listening_since is None:
+    if name in node.membership.members or node.peers_live_since is None:
         return False
-    return now - node.listening_since > FORGET_AFTER
+    return now - node.peers_live_since > FORGET_AFTER
 
 
-def _find_silent(node: Node, now: float) -> list[Effect]:
+def _log_silent_members(node: Node, now: float) -> list[Effect]:
     """Note members whose silence became known since the last beat."""
     return [
         Note(event=LogEvent.MEMBER_SILENT, fields={"node": member.report.name})
         for member in node.membership.members.values()
-        if SILENT_AFTER <= now - member.heard < SILENT_AFTER + BEAT_INTERVAL
+        if SILENT_AFTER <= now - member.heard < SILENT_AFTER + HEARTBEAT_INTERVAL_SECONDS
     ]
 
 
-def list_peers(node: Node, now: float) -> tuple[tuple[Address, ...], ...]:
+def list_peer_groups(node: Node, now: float) -> tuple[tuple[Address, ...], ...]:
     """Return the groups of addresses to which a heartbeat may go."""
     live = tuple(member.report.address for member in list_live(node.membership, now))
-    return (live, node.configuration.agent_addresses, node.seeds)
+    return (live, node.configuration.agent_addresses, node.seed_addresses)
 
 
-def hear_frame(
+def handle_gossip(
     node: Node, frame: Frame, source: Address, now: float
 ) -> tuple[Node, list[Effect]]:
     """Take in what any frame says: a generation, and perhaps reports."""
@@ -213,12 +213,12 @@
         effects.append(Note(event=LogEvent.CONFIGURATION_PULLED, fields=fields))
         effects.append(PullConfiguration(peer=pull.peer))
     if isinstance(frame, Heartbeat):
-        node, joined = _hear_reports(node, frame, now)
+        node, joined = _merge_reports(node, frame, now)
         effects += joined
     return node, effects
 
 
-def _hear_reports(
+def _merge_reports(
     node: Node, frame: Heartbeat, now: float
 ) -> tuple[Node, list[Effect]]:
     others = [report for report in frame.reports if report.name != node.name]
@@ -235,7 +235,7 @@
     return evolve(node, membership=membership), effects
 
 
-def offer_configuration(
+def apply_newer_configuration(
     node: Node, configuration: Configuration
 ) -> tuple[Node, list[Effect]]:
     """Apply a configuration if its generation is higher; never go back."""
@@ -260,20 +260,20 @@
     ]
 
 
-def read_first(node: Node, now: float) -> tuple[Node, list[Effect]]:
+def request_first_configuration(node: Node, now: float) -> tuple[Node, list[Effect]]:
     """Ask the platform for the configuration while this node has none.
 
     Later ones come from peers, so that the platform's load does not grow with
     the number of nodes.
     """
-    if node.configuration.generation > 0 or now < node.next_read:
+    if node.configuration.generation > 0 or now < node.next_configuration_read_at:
         return node, []
     call = Get(kind=CONFIGURATION_KIND, name=CONFIGURATION_NAME)
     effect = CallPlatform(purpose=Purpose.CONFIGURATION, call=call)
-    return evolve(node, next_read=now + READ_INTERVAL), [effect]
+    return evolve(node, next_configuration_read_at=now + CONFIGURATION_READ_INTERVAL_SECONDS), [effect]
 
 
-def decode_answer(event: PlatformAnswered) -> Configuration | None:
+def decode_configuration_answer(event: PlatformAnswered) -> Configuration | None:
     """Return the configuration that the platform answered with, if it did."""
     match event.outcome:
         case Found(object=StoredObject(value=value)):
--- a/shedsill/http3/_packets.py
+++ b/shedsill/http3/_packets.py
@@ -10,7 +10,7 @@
 
 from shedsill.http3._keys import CONNECTION_ID_LENGTH
 
-MIN_INITIAL_SIZE = 1200
+MIN_INITIAL_BYTES = 1200
 
 
 class PacketKind(enum.Enum):
@@ -22,7 +22,7 @@
 
 
 @frozen
-class Packet:
+class PacketHeader:
     """The first packet of a datagram.
 
     Attributes
@@ -39,13 +39,13 @@
     has_token: bool = False
 
 
-def read_packet(datagram: bytes) -> Packet | None:
+def read_packet_header(datagram: bytes) -> PacketHeader | None:
     """Read the header of a datagram's first packet; None if it is not QUIC.
 
     Examples
     --------
-    >>> read_packet(b"")
-    >>> read_packet(bytes([0x40]) + bytes(30)).kind
+    >>> read_packet_header(b"")
+    >>> read_packet_header(bytes([0x40]) + bytes(30)).kind
     <PacketKind.SHORT: 'short'>
     """
     try:
@@ -63,4 +63,4 @@
             return None
         case _:
             kind = PacketKind.LONG
-    return Packet(kind, header.destination_cid, header.source_cid, bool(header.token))
+    return PacketHeader(kind, header.destination_cid, header.source_cid, bool(header.token))
--- a/shedsill/http3/_peers.py
+++ b/shedsill/http3/_peers.py
@@ -11,7 +11,7 @@
 from shedsill.errors import DecodeError
 from shedsill.http3._answers import Header, RecordedAnswer
 from shedsill.http3._frames import SCHEMA
-from shedsill.http3._keys import KeyRing, open_envelope, seal_envelope
+from shedsill.http3._keys import KeyRing, verify_message, sign_message
 from shedsill.http3._outcomes import (
     Done,
     MayHaveRun,
@@ -56,7 +56,7 @@
         key=request.key,
     )
     _fill_headers(message.init("headers", len(request.headers)), request.headers)
-    return seal_envelope(ring, message.to_bytes())
+    return sign_message(ring, message.to_bytes())
 
 
 def decode_peer_request(ring: KeyRing, data: bytes) -> PeerRequest:
@@ -77,7 +77,7 @@
     """Encode and sign the answer to a passed request."""
     message = SCHEMA.PeerAnswer.new_message()
     _fill_answer(message, answer)
-    return seal_envelope(ring, message.to_bytes())
+    return sign_message(ring, message.to_bytes())
 
 
 def decode_peer_answer(ring: KeyRing, data: bytes) -> RecordedAnswer:
@@ -98,7 +98,7 @@
         for slot, (number, record) in zip(records, transfer.records, strict=True):
             slot.number = number
             _fill_record(slot, record)
-    return seal_envelope(ring, message.to_bytes())
+    return sign_message(ring, message.to_bytes())
 
 
 def _fill_record(slot: capnp._DynamicStructBuilder, record: Record) -> None:
@@ -147,7 +147,7 @@
     ring: KeyRing, data: bytes, schema: capnp._StructModule
 ) -> Iterator[capnp._DynamicStructReader]:
     """Open an envelope as a reader; anything unreadable is a `DecodeError`."""
-    message = open_envelope(ring, data)
+    message = verify_message(ring, data)
     try:
         with schema.from_bytes(
             message, traversal_limit_in_words=MAX_MESSAGE_WORDS
--- a/shedsill/http3/_placement.py
+++ b/shedsill/http3/_placement.py
@@ -16,8 +16,8 @@
 from shedsill.http3._configuration import AcceptedUpstream, UpstreamState
 from shedsill.http3._frames import Candidate, Load
 
-SLOW_START_FLOOR = 0.1
-SATURATION = 2
+MIN_SLOW_START_SHARE = 0.1
+SATURATION_RATIO = 2
 
 
 @frozen(kw_only=True)
@@ -66,26 +66,26 @@
     return tuple(sorted(active, key=weigh, reverse=True))
 
 
-def get_fill(load: Load, *, warmth: float = 1.0) -> float:
+def get_utilization(load: Load, *, slow_start_share: float = 1.0) -> float:
     """Return how full an upstream is: its flows over its limit.
 
     Parameters
     ----------
-    warmth : float
-        From `SLOW_START_FLOOR` for one that has just started to 1; an upstream
+    slow_start_share : float
+        From `MIN_SLOW_START_SHARE` for one that has just started to 1; an upstream
         that warms up counts as having a lower limit.
 
     Examples
     --------
-    >>> get_fill(Load(flows=50, flow_limit=100))
+    >>> get_utilization(Load(flows=50, flow_limit=100))
     0.5
-    >>> get_fill(Load(flows=5, flow_limit=100), warmth=0.1)
+    >>> get_utilization(Load(flows=5, flow_limit=100), slow_start_share=0.1)
     0.5
     """
-    return load.flows / max(load.flow_limit * max(warmth, SLOW_START_FLOOR), 1.0)
+    return load.flows / max(load.flow_limit * max(slow_start_share, MIN_SLOW_START_SHARE), 1.0)
 
 
-def can_take(load: Load) -> bool:
+def can_accept_flow(load: Load) -> bool:
     """Whether an upstream with this load may be given another flow."""
     return load.open and load.flows < load.flow_limit
 
@@ -98,25 +98,25 @@
     >>> is_saturated(Load(busy=5, slots=3)), is_saturated(Load(busy=6, slots=3))
     (False, True)
     """
-    return load.busy >= SATURATION * load.slots
+    return load.busy >= SATURATION_RATIO * load.slots
 
 
-def choose_alternate(
-    policy: Policy, own: Load, alternate: Candidate | None, *, warmth: float = 1.0
+def is_alternate_preferred(
+    policy: Policy, own: Load, alternate: Candidate | None, *, slow_start_share: float = 1.0
 ) -> bool:
     """Whether the first agent passes a new flow on.
 
     Examples
     --------
     >>> other = Candidate(upstream=2, load=Load(flows=10, flow_limit=100), age=0.1)
-    >>> choose_alternate(TwoCandidates(), Load(flows=12, flow_limit=100), other)
+    >>> is_alternate_preferred(TwoCandidates(), Load(flows=12, flow_limit=100), other)
     True
-    >>> choose_alternate(TwoCandidates(), Load(flows=10, flow_limit=100), other)
+    >>> is_alternate_preferred(TwoCandidates(), Load(flows=10, flow_limit=100), other)
     False
     """
-    if alternate is None or not can_take(alternate.load):
+    if alternate is None or not can_accept_flow(alternate.load):
         return False
-    if not can_take(own):
+    if not can_accept_flow(own):
         return True
     match policy:
         case HashOnly():
@@ -127,5 +127,5 @@
             if is_saturated(own) != is_saturated(alternate.load):
                 return is_saturated(own)
             step = margin / max(own.flow_limit, 1)
-            difference = get_fill(own, warmth=warmth) - get_fill(alternate.load)
+            difference = get_utilization(own, slow_start_share=slow_start_share) - get_utilization(alternate.load)
             return difference > step
--- a/shedsill/http3/_reducer.py
+++ b/shedsill/http3/_reducer.py
@@ -34,13 +34,13 @@
     StopRequested,
     Tick,
     UpstreamAnswered,
-    UpstreamBegan,
+    UpstreamAnswerStarted,
     UpstreamFailed,
     UpstreamLoadRead,
 )
-from shedsill.http3._node import decode_answer, read_first
-from shedsill.http3._purposes import Purpose
-from shedsill.http3._status import take_status_outcome
+from shedsill.http3._node import decode_configuration_answer, request_first_configuration
+from shedsill.http3._platform_purposes import Purpose
+from shedsill.http3._status import record_status_outcome
 
 State = TypeVar("State", AgentState, BalancerState)
 
@@ -60,11 +60,11 @@
     """
     match event:
         case Tick():
-            node, effects = read_first(state.node, event.now)
-            state, more = _take_tick(evolve(state, node=node), event)
+            node, effects = request_first_configuration(state.node, event.now)
+            state, more = _handle_tick(evolve(state, node=node), event)
             return state, effects + more
         case PlatformAnswered(purpose=Purpose.CONFIGURATION):
-            configuration = decode_answer(event)
+            configuration = decode_configuration_answer(event)
             if configuration is None:
                 return state, []
             offered = ConfigurationOffered(configuration=configuration, now=event.now)
@@ -79,10 +79,10 @@
             return _reduce_agent(state, event)
 
 
-def _take_tick(state: State, event: Tick) -> tuple[State, list[Effect]]:
+def _handle_tick(state: State, event: Tick) -> tuple[State, list[Effect]]:
     match state:
         case BalancerState():
-            return _balancer.take_tick(state, event)
+            return _balancer.handle_tick(state, event)
         case AgentState():
             return _agent.take_tick(state, event)
 
@@ -92,15 +92,15 @@
 ) -> tuple[BalancerState, list[Effect]]:
     match event:
         case CallerDatagram():
-            return _balancer.take_datagram(state, event)
+            return _balancer.handle_datagram(state, event)
         case FrameReceived():
-            return _balancer.take_any_frame(state, event)
+            return _balancer.handle_frame(state, event)
         case ConfigurationOffered():
-            return _balancer.take_configuration(state, event)
+            return _balancer.handle_configuration(state, event)
         case PlatformAnswered():
-            return _balancer.take_platform_answer(state, event)
+            return _balancer.handle_platform_answer(state, event)
         case StopRequested():
-            return _balancer.take_stop(state, event)
+            return _balancer.handle_stop(state, event)
         case _:
             raise InvariantError(f"a balancer was given {type(event).__name__}")
 
@@ -117,7 +117,7 @@
             return _requests.take_request(state, event)
         case RequestCancelled():
             return _requests.take_cancellation(state, event)
-        case UpstreamBegan():
+        case UpstreamAnswerStarted():
             return _requests.take_beginning(state, event)
         case UpstreamAnswered():
             return _requests.take_answer(state, event)
@@ -136,7 +136,7 @@
         case HandoverDone():
             return _drain.take_handover_result(state, event)
         case PlatformAnswered():
-            return evolve(state, status=take_status_outcome(state.status, event)), []
+            return evolve(state, status=record_status_outcome(state.status, event)), []
         case StopRequested():
             return _agent.take_stop(state, event)
         case _:
--- a/shedsill/http3/_requests.py
+++ b/shedsill/http3/_requests.py
@@ -24,13 +24,13 @@
 )
 from shedsill.http3._agent_state import AgentState
 from shedsill.http3._effects import (
-    AbortUpstream,
-    Answer,
-    DeclineRequest,
+    AbortUpstreamRequest,
+    SendAnswer,
+    DeclineForwardedRequest,
     Effect,
     Note,
-    PassRequest,
-    StartUpstream,
+    ForwardRequest,
+    SendUpstreamRequest,
 )
 from shedsill.http3._events import (
     PeerAnswered,
@@ -38,7 +38,7 @@
     RequestArrived,
     RequestCancelled,
     UpstreamAnswered,
-    UpstreamBegan,
+    UpstreamAnswerStarted,
     UpstreamFailed,
 )
 from shedsill.http3._keys import Ticket
@@ -89,11 +89,11 @@
     state, request = _make_request(state, event)
     if not event.key:
         return _admit(state, request, event.now, event.seed)
-    ticket = state.keys.open_ticket(event.key)
+    ticket = state.keys.decrypt_ticket(event.key)
     if ticket is None:
         reason = "Idempotency-Key is not a ticket that this service issued"
         return state, [refuse_request(state, request, STATUS_BAD_REQUEST, reason)]
-    if not event.whole:
+    if not event.body_complete:
         reason = f"a body above {MAX_RECORDED_BODY} octets cannot carry a ticket"
         return state, [refuse_request(state, request, STATUS_TOO_LARGE, reason)]
     return _take_ticket(state, request, ticket, event)
@@ -118,9 +118,9 @@
         stream=event.stream,
         request_class=request_class,
         fingerprint=event.fingerprint,
-        whole=event.whole,
+        whole=event.body_complete,
         expires=math.inf if stream else event.now + request_class.deadline,
-        ticket=state.keys.seal_ticket(issued),
+        ticket=state.keys.encrypt_ticket(issued),
         key=event.key,
     )
     return evolve(state, next_ticket=state.next_ticket + 1), request
@@ -151,7 +151,7 @@
     state: AgentState, request: Request, ticket: Ticket, event: RequestArrived
 ) -> Step:
     assert request.origin is not None
-    expires = get_local_expiry(state.ledger, request.origin, ticket.expires)
+    expires = get_local_expiry(state.ledger, request.origin, ticket.expires_at)
     if expires <= event.now:
         return state, [say_unknown(request, STATUS_CONFLICT, "the ticket has expired")]
     if is_full(state.ledger):
@@ -175,7 +175,7 @@
     match record:
         case Done(answer=answer):
             note = note_request(LogEvent.REQUEST_REPLAYED, request)
-            effect = Answer(
+            effect = SendAnswer(
                 request=request.number, answer=answer, ticket=request.ticket
             )
             return state, [note, effect]
@@ -200,7 +200,7 @@
 ) -> Step:
     """Hand a request to the agent that answers for its ticket."""
     if event.from_peer:
-        return state, [DeclineRequest(request=request.number)]
+        return state, [DeclineForwardedRequest(request=request.number)]
     issuer = state.node.configuration.find_upstream(origin.upstream)
     if issuer is not None and issuer.service != state.service:
         reason = "Idempotency-Key is a ticket of another service"
@@ -224,7 +224,7 @@
     waiting = evolve(request, phase=Phase.PASSED, hops=request.hops + 1)
     state = set_admission(state, put_request(state.admission, waiting))
     fields = {**describe_request(request), "upstream": upstream.name}
-    effect = PassRequest(
+    effect = ForwardRequest(
         request=request.number, peer=upstream.socket_address, upstream=target
     )
     return state, [Note(event=LogEvent.REQUEST_PASSED, fields=fields), effect]
@@ -242,7 +242,7 @@
     if request is None:
         return state, []
     state = set_admission(state, drop_request(state.admission, request, event.now))
-    effect = Answer(
+    effect = SendAnswer(
         request=request.number,
         answer=event.answer,
         ticket=request.ticket,
@@ -256,7 +256,7 @@
     request = state.admission.requests.get(event.request)
     if request is None:
         return state, []
-    if event.gone and request.origin is not None:
+    if event.not_accepted and request.origin is not None:
         return _try_successor(state, request, request.origin.upstream)
     state = set_admission(state, drop_request(state.admission, request, event.now))
     reason = "the ticket's issuer did not answer"
@@ -281,8 +281,8 @@
 def _start(state: AgentState, request: Request, now: float) -> Step:
     state = set_admission(state, start_request(state.admission, request, now))
     hold = request.takes_slot
-    effect = StartUpstream(
-        request=request.number, hold_answer=hold, ticket=request.ticket
+    effect = SendUpstreamRequest(
+        request=request.number, buffer_answer=hold, ticket=request.ticket
     )
     return state, [note_request(LogEvent.REQUEST_STARTED, request), effect]
 
@@ -319,7 +319,7 @@
     effects: list[Effect] = [note_request(LogEvent.REQUEST_EXPIRED, request)]
     aborted = request.phase == Phase.RUNNING
     if aborted:
-        effects.append(AbortUpstream(request=request.number))
+        effects.append(AbortUpstreamRequest(request=request.number))
     if request.phase == Phase.JOINED:
         state = _leave_waiters(state, request)
     admission = drop_request(state.admission, request, now, aborted=aborted)
@@ -353,7 +353,7 @@
     if not aborted:
         return record_refusal(state, request), [note]
     state = record_unknown(state, request)
-    return state, [note, AbortUpstream(request=request.number)]
+    return state, [note, AbortUpstreamRequest(request=request.number)]
 
 
 def _leave_waiters(state: AgentState, request: Request) -> AgentState:
@@ -364,7 +364,7 @@
     return put_outcome(state, request, evolve(record, waiters=waiters))
 
 
-def take_beginning(state: AgentState, event: UpstreamBegan) -> Step:
+def take_beginning(state: AgentState, event: UpstreamAnswerStarted) -> Step:
     """Note that part of an answer has gone to the caller."""
     request = state.admission.requests.get(event.request)
     if request is None:
--- a/shedsill/http3/_resources.py
+++ b/shedsill/http3/_resources.py
@@ -15,14 +15,14 @@
 from shedsill.errors import DocumentError
 
 NAME_ALLOWED = "1 to 63 lower-case letters, digits, dots and hyphens"
-MAX_NAME = 63
+MAX_NAME_LENGTH = 63
 NAME_ALPHABET = frozenset("abcdefghijklmnopqrstuvwxyz0123456789.-")
 
 
 def _check_name(_instance: object, attribute: Any, value: object) -> None:
     if (
         not isinstance(value, str)
-        or not 1 <= len(value) <= MAX_NAME
+        or not 1 <= len(value) <= MAX_NAME_LENGTH
         or not set(value) <= NAME_ALPHABET
     ):
         raise DocumentError(attribute.name, value, NAME_ALLOWED)
@@ -157,7 +157,7 @@
 
 Resource = Service | UpstreamSet | Change
 
-KINDS: dict[str, type] = {
+RESOURCE_KINDS: dict[str, type] = {
     "service": Service,
     "upstreamset": UpstreamSet,
     "change": Change,
@@ -217,7 +217,7 @@
 CONVERTER = _make_converter()
 
 
-def _find_cause(error: BaseException, path: str) -> DocumentError:
+def _convert_error(error: BaseException, path: str) -> DocumentError:
     """Turn the first error in a tree of structuring errors into one message."""
     notes = getattr(error, "__notes__", [])
     for note in notes:
@@ -232,7 +232,7 @@
         where = f"{path}.{extra}" if path else extra
         return DocumentError(where, extra, f"only the fields {allowed}")
     if isinstance(error, BaseExceptionGroup):
-        return _find_cause(error.exceptions[0], path)
+        return _convert_error(error.exceptions[0], path)
     if isinstance(error, DocumentError):
         where = ".".join(part for part in (path, error.field) if part)
         return DocumentError(where, error.value, error.allowed)
@@ -263,7 +263,7 @@
     if not isinstance(document, dict):
         raise DocumentError("document", document, "a mapping with kind, name and spec")
     kind = str(document.get("kind", "")).lower()
-    if kind not in KINDS:
+    if kind not in RESOURCE_KINDS:
         allowed = "one of Service, UpstreamSet, Change"
         raise DocumentError("kind", document.get("kind"), allowed)
     extra = set(document) - {"kind", "name", "spec", "status", "version"}
@@ -278,11 +278,11 @@
 
 def _structure_resource(kind: str, name: object, spec: dict) -> Resource:
     try:
-        resource = CONVERTER.structure({"name": name, **spec}, KINDS[kind])
+        resource = CONVERTER.structure({"name": name, **spec}, RESOURCE_KINDS[kind])
     except DocumentError as error:
         raise DocumentError(f"spec.{error.field}", error.value, error.allowed) from None
     except Exception as error:
-        raise _find_cause(error, "spec") from None
+        raise _convert_error(error, "spec") from None
     _check_resource(resource)
     return resource
 
--- a/shedsill/http3/_routing.py
+++ b/shedsill/http3/_routing.py
@@ -16,35 +16,35 @@
 from shedsill.http3._events import CallerDatagram
 from shedsill.http3._frames import Candidate, Load, ToCaller, ToUpstream
 from shedsill.http3._keys import KeyRing
-from shedsill.http3._packets import MIN_INITIAL_SIZE, Packet, PacketKind, read_packet
-from shedsill.http3._placement import can_take, rank_upstreams
+from shedsill.http3._packets import MIN_INITIAL_BYTES, PacketHeader, PacketKind, read_packet_header
+from shedsill.http3._placement import can_accept_flow, rank_upstreams
 
 MAX_CALLER_BUCKETS = 10_000
-SILENCE_LIMIT = 0.4
-PROBE_WINDOW = 32
+ANSWER_TIMEOUT_SECONDS = 0.4
+UPSTREAMS_CHECKED_PER_HEARTBEAT = 32
 
 
 @frozen(kw_only=True)
-class Link:
+class AgentStatus:
     """What a balancer knows of one agent.
 
     Attributes
     ----------
     load : Load
         As last reported.
-    heard : float
+    last_heard_at : float
         Local time of the last frame from it.
-    waiting_since : float or None
+    unanswered_since : float or None
         Local time of the first Initial or probe since then.
     """
 
     load: Load = field(factory=Load)
-    heard: float = 0.0
-    waiting_since: float | None = None
+    last_heard_at: float = 0.0
+    unanswered_since: float | None = None
 
 
 @frozen
-class Caller:
+class CallerKey:
     """A caller's IP number, as far as one service is concerned."""
 
     service: int
@@ -59,8 +59,8 @@
     flows of the others alone.
     """
 
-    caller: Rate = field(factory=lambda: Rate(per_second=50.0, burst=500.0))
-    total: Rate = field(factory=lambda: Rate(per_second=4_000.0, burst=8_000.0))
+    per_caller: Rate = field(factory=lambda: Rate(per_second=50.0, burst=500.0))
+    per_service: Rate = field(factory=lambda: Rate(per_second=4_000.0, burst=8_000.0))
 
 
 @frozen(kw_only=True)
@@ -68,31 +68,31 @@
     """The routing part of a balancer's state."""
 
     limits: FlowLimits = field(factory=FlowLimits)
-    links: immutables.Map[int, Link] = field(factory=immutables.Map)
-    callers: immutables.Map[Caller, Bucket] = field(factory=immutables.Map)
-    totals: immutables.Map[int, Bucket] = field(factory=immutables.Map)
-    last_datagram: float = 0.0
+    agents: immutables.Map[int, AgentStatus] = field(factory=immutables.Map)
+    caller_buckets: immutables.Map[CallerKey, Bucket] = field(factory=immutables.Map)
+    service_buckets: immutables.Map[int, Bucket] = field(factory=immutables.Map)
+    last_datagram_at: float = 0.0
 
 
-def is_silent(link: Link, now: float) -> bool:
+def is_silent(agent: AgentStatus, now: float) -> bool:
     """Whether an agent has left a question open for too long."""
-    return link.waiting_since is not None and now - link.waiting_since > SILENCE_LIMIT
+    return agent.unanswered_since is not None and now - agent.unanswered_since > ANSWER_TIMEOUT_SECONDS
 
 
 def route_datagram(
     router: Router, configuration: Configuration, keys: KeyRing, event: CallerDatagram
 ) -> tuple[Router, list[Effect]]:
     """Decide where a caller's datagram goes."""
-    packet = read_packet(event.datagram)
+    packet = read_packet_header(event.datagram)
     if packet is None:
-        return router, [_note_drop(LogEvent.DATAGRAM_MALFORMED, event)]
+        return router, [_log_drop(LogEvent.DATAGRAM_MALFORMED, event)]
     upstream, misrouted = _find_route(configuration, keys, packet.cid, event.service)
     if upstream is not None:
         return router, _forward(configuration, upstream, event)
     if misrouted:
-        return router, [_note_drop(LogEvent.DATAGRAM_MISROUTED, event)]
-    if packet.kind != PacketKind.INITIAL or len(event.datagram) < MIN_INITIAL_SIZE:
-        return router, [_note_drop(LogEvent.DATAGRAM_UNROUTABLE, event)]
+        return router, [_log_drop(LogEvent.DATAGRAM_MISROUTED, event)]
+    if packet.kind != PacketKind.INITIAL or len(event.datagram) < MIN_INITIAL_BYTES:
+        return router, [_log_drop(LogEvent.DATAGRAM_UNROUTABLE, event)]
     return _place_flow(router, configuration, packet, event)
 
 
@@ -101,7 +101,7 @@
 ) -> tuple[AcceptedUpstream | None, bool]:
     """Return the upstream that a connection ID names, or whether it is foreign."""
     misrouted = False
-    for route in keys.decode(cid):
+    for route in keys.decode_connection_id(cid):
         upstream = configuration.find_upstream(route.upstream)
         if upstream is None or upstream.service != route.service:
             continue
@@ -129,17 +129,17 @@
 
 
 def _place_flow(
-    router: Router, configuration: Configuration, packet: Packet, event: CallerDatagram
+    router: Router, configuration: Configuration, packet: PacketHeader, event: CallerDatagram
 ) -> tuple[Router, list[Effect]]:
-    caller = Caller(event.service, event.caller.host)
+    caller = CallerKey(event.service, event.caller.host)
     router, admitted = _take_tokens(router, caller, event.now)
     if not admitted:
-        return router, [_note_drop(LogEvent.FLOW_LIMITED, event)]
+        return router, [_log_drop(LogEvent.FLOW_LIMITED, event)]
     ranked = rank_upstreams(
         configuration.list_upstreams(event.service), event.service, packet.cid
     )
     if not ranked:
-        return router, [_note_drop(LogEvent.NO_CANDIDATE, event)]
+        return router, [_log_drop(LogEvent.NO_CANDIDATE, event)]
     answering = [u for u in ranked if not _is_upstream_silent(router, u, event.now)]
     first = answering[0] if answering else ranked[0]
     alternate = _find_alternate(router, answering[1:], event.now)
@@ -158,7 +158,7 @@
     fields = {"upstream": first.name, "caller": str(event.caller)}
     effects.append(Note(event=LogEvent.FLOW_PLACED, fields=fields))
     effects.append(Send(destination=first.socket_address, frame=frame))
-    return note_question(router, first.number, event.now), effects
+    return record_awaited_answer(router, first.number, event.now), effects
 
 
 def _find_alternate(
@@ -166,34 +166,34 @@
 ) -> Candidate | None:
     """Return the first other candidate that can take a flow."""
     for upstream in others:
-        link = router.links.get(upstream.number)
-        if link is not None and link.heard > 0.0 and can_take(link.load):
-            age = max(now - link.heard, 0.0)
-            return Candidate(upstream=upstream.number, load=link.load, age=age)
+        agent = router.agents.get(upstream.number)
+        if agent is not None and agent.last_heard_at > 0.0 and can_accept_flow(agent.load):
+            age = max(now - agent.last_heard_at, 0.0)
+            return Candidate(upstream=upstream.number, load=agent.load, age=age)
     return None
 
 
 def _is_upstream_silent(router: Router, upstream: AcceptedUpstream, now: float) -> bool:
-    link = router.links.get(upstream.number)
-    return link is not None and is_silent(link, now)
+    agent = router.agents.get(upstream.number)
+    return agent is not None and is_silent(agent, now)
 
 
-def _take_tokens(router: Router, caller: Caller, now: float) -> tuple[Router, bool]:
+def _take_tokens(router: Router, caller: CallerKey, now: float) -> tuple[Router, bool]:
     limits = router.limits
-    bucket, admitted = take_token(router.totals.get(caller.service), limits.total, now)
-    router = evolve(router, totals=router.totals.set(caller.service, bucket))
+    bucket, admitted = take_token(router.service_buckets.get(caller.service), limits.per_service, now)
+    router = evolve(router, service_buckets=router.service_buckets.set(caller.service, bucket))
     if not admitted:
         return router, False
-    callers = router.callers
+    callers = router.caller_buckets
     if len(callers) >= MAX_CALLER_BUCKETS and caller not in callers:
-        callers = _drop_full_buckets(callers, limits.caller, now)
-    bucket, admitted = take_token(callers.get(caller), limits.caller, now)
-    return evolve(router, callers=callers.set(caller, bucket)), admitted
+        callers = _drop_full_buckets(callers, limits.per_caller, now)
+    bucket, admitted = take_token(callers.get(caller), limits.per_caller, now)
+    return evolve(router, caller_buckets=callers.set(caller, bucket)), admitted
 
 
 def _drop_full_buckets(
-    callers: immutables.Map[Caller, Bucket], rate: Rate, now: float
-) -> immutables.Map[Caller, Bucket]:
+    callers: immutables.Map[CallerKey, Bucket], rate: Rate, now: float
+) -> immutables.Map[CallerKey, Bucket]:
     """Forget callers whose bucket has filled up again, or else everyone."""
     refill = rate.burst / rate.per_second
     kept = {who: b for who, b in callers.items() if now - b.counted < refill}
@@ -202,37 +202,37 @@
     return immutables.Map(kept)
 
 
-def note_question(router: Router, upstream: int, now: float) -> Router:
+def record_awaited_answer(router: Router, upstream: int, now: float) -> Router:
     """Note that an agent was sent something that it has to answer."""
-    link = router.links.get(upstream, Link())
-    if link.waiting_since is not None:
+    agent = router.agents.get(upstream, AgentStatus())
+    if agent.unanswered_since is not None:
         return router
-    link = evolve(link, waiting_since=now)
-    return evolve(router, links=router.links.set(upstream, link))
+    agent = evolve(agent, unanswered_since=now)
+    return evolve(router, agents=router.agents.set(upstream, agent))
 
 
-def note_answer(router: Router, upstream: int, load: Load, now: float) -> Router:
+def record_agent_load(router: Router, upstream: int, load: Load, now: float) -> Router:
     """Note a frame from an agent and the load that it reports."""
-    link = router.links.get(upstream)
+    agent = router.agents.get(upstream)
     if (
-        link is not None
-        and link.waiting_since is None
-        and link.load == load
-        and now - link.heard < SILENCE_LIMIT / 4
+        agent is not None
+        and agent.unanswered_since is None
+        and agent.load == load
+        and now - agent.last_heard_at < ANSWER_TIMEOUT_SECONDS / 4
     ):
         return router
-    fresh = Link(load=load, heard=now)
-    return evolve(router, links=router.links.set(upstream, fresh))
+    fresh = AgentStatus(load=load, last_heard_at=now)
+    return evolve(router, agents=router.agents.set(upstream, fresh))
 
 
-def relay_answer(frame: ToCaller) -> SendToCaller:
+def relay_to_caller(frame: ToCaller) -> SendToCaller:
     """Return the effect that takes an agent's datagram to its caller."""
     return SendToCaller(
         service=frame.service, caller=frame.caller, datagram=frame.datagram
     )
 
 
-def find_quiet(
+def list_agents_to_probe(
     router: Router, configuration: Configuration, now: float, *, idle: float, beat: int
 ) -> tuple[AcceptedUpstream, ...]:
     """Return agents that should be probed: silent, or long not heard of.
@@ -241,27 +241,27 @@
     for many upstreams as for few.
     """
     upstreams = configuration.upstreams
-    start = beat * PROBE_WINDOW % max(len(upstreams), 1)
-    window = upstreams[start : start + PROBE_WINDOW]
-    if len(upstreams) <= PROBE_WINDOW:
+    start = beat * UPSTREAMS_CHECKED_PER_HEARTBEAT % max(len(upstreams), 1)
+    window = upstreams[start : start + UPSTREAMS_CHECKED_PER_HEARTBEAT]
+    if len(upstreams) <= UPSTREAMS_CHECKED_PER_HEARTBEAT:
         window = upstreams
     quiet = []
     for upstream in window:
-        link = router.links.get(upstream.number)
-        if link is None or is_silent(link, now) or now - link.heard > idle:
+        agent = router.agents.get(upstream.number)
+        if agent is None or is_silent(agent, now) or now - agent.last_heard_at > idle:
             quiet.append(upstream)
     return tuple(quiet)
 
 
-def prune_links(router: Router, configuration: Configuration) -> Router:
+def prune_agents(router: Router, configuration: Configuration) -> Router:
     """Forget agents that the configuration no longer names."""
-    links = router.links
-    for number in router.links:
+    agents = router.agents
+    for number in router.agents:
         if configuration.find_upstream(number) is None:
-            links = links.delete(number)
-    return evolve(router, links=links)
+            agents = agents.delete(number)
+    return evolve(router, agents=agents)
 
 
-def _note_drop(event: LogEvent, datagram: CallerDatagram) -> Note:
+def _log_drop(event: LogEvent, datagram: CallerDatagram) -> Note:
     fields = {"caller": str(datagram.caller), "octets": len(datagram.datagram)}
     return Note(event=event, fields=fields)
--- a/shedsill/http3/_runtime/agent.py
+++ b/shedsill/http3/_runtime/agent.py
@@ -19,23 +19,23 @@
 from shedsill.http3._agent_state import AgentSettings, AgentState, get_load
 from shedsill.http3._answers import Header, RecordedAnswer, RequestOutcome
 from shedsill.http3._effects import (
-    AbortUpstream,
+    AbortUpstreamRequest,
     AnnounceDrain,
-    Answer,
+    SendAnswer,
     ApplyConfiguration,
-    CutAnswer,
-    DeclineRequest,
+    ResetAnswerStream,
+    DeclineForwardedRequest,
     Deliver,
     Effect,
-    HandOver,
+    SendHandover,
     MoveReplyPath,
     Note,
-    PassRequest,
-    Refuse,
+    ForwardRequest,
+    RefuseRequest,
     RefuseFlow,
     RequireRetry,
     ResetFlow,
-    StartUpstream,
+    SendUpstreamRequest,
 )
 from shedsill.http3._events import (
     FlowClosed,
@@ -47,14 +47,14 @@
     RequestArrived,
     RequestCancelled,
     UpstreamAnswered,
-    UpstreamBegan,
+    UpstreamAnswerStarted,
     UpstreamFailed,
     UpstreamLoadRead,
 )
 from shedsill.http3._frames import ToCaller, encode_frame
 from shedsill.http3._keys import KeyRing, Route
 from shedsill.http3._node import Node
-from shedsill.http3._packets import read_packet
+from shedsill.http3._packets import read_packet_header
 from shedsill.http3._peers import (
     Handover,
     PeerRequest,
@@ -109,7 +109,7 @@
         address=options.address,
         balancer=False,
         incarnation=options.incarnation,
-        seeds=options.seeds,
+        seed_addresses=options.seeds,
     )
     return AgentState(
         node=node,
@@ -133,7 +133,7 @@
     def begin(self, status: int, headers: tuple[Header, ...]) -> None:
         """Send the head."""
         agent = self._agent
-        agent.dispatch(UpstreamBegan(request=self._exchange.number, now=agent.now))
+        agent.dispatch(UpstreamAnswerStarted(request=self._exchange.number, now=agent.now))
         extra = make_headers(RequestOutcome.DONE, self._ticket)
         agent.flows.send_head(self._exchange, status, (*headers, *extra))
 
@@ -300,7 +300,7 @@
         state = self.node_state
         route = Route(state.upstream, state.service, state.incarnation)
         epoch = state.node.configuration.key_epoch
-        return self.keys.mint(route, epoch=epoch, nonce=os.urandom(NONCE_LENGTH))
+        return self.keys.make_connection_id(route, epoch=epoch, nonce=os.urandom(NONCE_LENGTH))
 
     def _send_to_caller(
         self, caller: Address, datagram: bytes, balancer: Address
@@ -317,7 +317,7 @@
         self.send_envelope(balancer, encode_frame(self.keys, frame))
 
     def _reset_lost(self, caller: Address, datagram: bytes, balancer: Address) -> None:
-        packet = read_packet(datagram)
+        packet = read_packet_header(datagram)
         if packet is not None:
             self.flows.reset(caller, packet.cid, len(datagram), balancer)
 
@@ -340,7 +340,7 @@
                 self.flows.move_reply_path(old, new)
             case AnnounceDrain():
                 self.flows.announce_drain()
-            case HandOver():
+            case SendHandover():
                 self.run(self._hand_over(effect))
             case ApplyConfiguration():
                 pass
@@ -356,27 +356,27 @@
         if exchange is None:
             return
         match effect:
-            case StartUpstream():
+            case SendUpstreamRequest():
                 exchange.task = self.run(self._send_upstream(exchange, effect))
-            case AbortUpstream():
+            case AbortUpstreamRequest():
                 if exchange.task is not None:
                     exchange.task.cancel()
-            case Answer(answer=answer, ticket=ticket, outcome=outcome):
+            case SendAnswer(answer=answer, ticket=ticket, outcome=outcome):
                 headers = make_headers(outcome, ticket)
                 self._finish(exchange, answer, headers)
-            case Refuse():
+            case RefuseRequest():
                 self._refuse(exchange, effect)
-            case CutAnswer():
+            case ResetAnswerStream():
                 self.flows.cut(exchange)
                 self._drop(exchange)
-            case PassRequest():
+            case ForwardRequest():
                 exchange.task = self.run(self._pass_request(exchange, effect))
-            case DeclineRequest():
+            case DeclineForwardedRequest():
                 if exchange.reply is not None and not exchange.reply.done():
                     exchange.reply.set_result(None)
                 self._drop(exchange)
 
-    def _refuse(self, exchange: Exchange, effect: Refuse) -> None:
+    def _refuse(self, exchange: Exchange, effect: RefuseRequest) -> None:
         answer = RecordedAnswer(
             status=effect.status,
             headers=(Header(name="content-type", value="text/plain"),),
@@ -421,7 +421,7 @@
                 path=exchange.path,
                 key=exchange.key,
                 fingerprint=exchange.make_fingerprint(),
-                whole=exchange.body.ended,
+                body_complete=exchange.body.ended,
                 now=self.now,
                 seed=self.draw_seed(),
             )
@@ -436,10 +436,10 @@
             )
         )
 
-    async def _send_upstream(self, exchange: Exchange, effect: StartUpstream) -> None:
+    async def _send_upstream(self, exchange: Exchange, effect: SendUpstreamRequest) -> None:
         result = await self._upstream.send(
             exchange,
-            hold=effect.hold_answer or exchange.reply is not None,
+            hold=effect.buffer_answer or exchange.reply is not None,
             make_relay=lambda: _StreamRelay(self, exchange, effect.ticket),
         )
         now, seed = self.now, self.draw_seed()
@@ -473,7 +473,7 @@
                     )
                 )
 
-    async def _pass_request(self, exchange: Exchange, effect: PassRequest) -> None:
+    async def _pass_request(self, exchange: Exchange, effect: ForwardRequest) -> None:
         request = PeerRequest(
             service=self.node_state.service,
             upstream=effect.upstream,
@@ -490,7 +490,7 @@
         self.dispatch(
             PeerFailed(
                 request=exchange.number,
-                gone=gone,
+                not_accepted=gone,
                 now=self.now,
                 seed=self.draw_seed(),
             )
@@ -534,10 +534,10 @@
             return web.Response(status=HTTP_GONE)
         return web.Response(body=encode_peer_answer(self.keys, answer))
 
-    async def _hand_over(self, effect: HandOver) -> None:
+    async def _hand_over(self, effect: SendHandover) -> None:
         handover = Handover(upstream=effect.upstream, transfers=effect.transfers)
         taken = await self._get_peers().hand_over(effect.peer, handover)
-        self.dispatch(HandoverDone(taken=taken, now=self.now))
+        self.dispatch(HandoverDone(accepted=taken, now=self.now))
 
     def _get_peers(self) -> PeerClient:
         assert self.http is not None
--- a/shedsill/http3/_runtime/balancer.py
+++ b/shedsill/http3/_runtime/balancer.py
@@ -12,7 +12,7 @@
 from shedsill.coordination.lease import Lease
 from shedsill.coordination.membership import list_live
 from shedsill.coordination.platform import Platform
-from shedsill.http3._acceptance import Acceptor
+from shedsill.http3._acceptor import Acceptor
 from shedsill.http3._balancer import BalancerSettings, BalancerState
 from shedsill.http3._configuration import Configuration
 from shedsill.http3._effects import ApplyConfiguration, Effect, SendToCaller
@@ -60,7 +60,7 @@
         address=options.address,
         balancer=True,
         incarnation=options.incarnation,
-        seeds=options.seeds,
+        seed_addresses=options.seeds,
     )
     lease = Lease(
         kind=LEASE_KIND,
--- a/shedsill/http3/_runtime/control.py
+++ b/shedsill/http3/_runtime/control.py
@@ -12,7 +12,7 @@
 
 from shedsill._addresses import Address
 from shedsill.http3._configuration import Configuration, encode_configuration_text
-from shedsill.http3._keys import KeyRing, seal_envelope
+from shedsill.http3._keys import KeyRing, sign_message
 
 MAX_PEER_MESSAGE = 64 * 1024 * 1024
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
@@ -84,4 +84,4 @@
 
     async def _answer_configuration(self, _request: web.Request) -> web.Response:
         text = encode_configuration_text(self._get_configuration())
-        return web.Response(body=seal_envelope(self._keys, text))
+        return web.Response(body=sign_message(self._keys, text))
--- a/shedsill/http3/_runtime/driver.py
+++ b/shedsill/http3/_runtime/driver.py
@@ -36,7 +36,7 @@
     Tick,
 )
 from shedsill.http3._frames import Heartbeat, decode_frame, encode_frame
-from shedsill.http3._keys import KeyRing, open_envelope
+from shedsill.http3._keys import KeyRing, verify_message
 from shedsill.http3._reducer import reduce
 from shedsill.http3._runtime.connections import make_connector, make_limit
 from shedsill.http3._runtime.notes import Notebook
@@ -238,7 +238,7 @@
         try:
             async with self.http.get(f"http://{peer}/peer/configuration") as response:
                 envelope = await response.read()
-            return decode_configuration_text(open_envelope(self.keys, envelope))
+            return decode_configuration_text(verify_message(self.keys, envelope))
         except (TimeoutError, aiohttp.ClientError, OSError, DecodeError):
             return None
 
--- a/shedsill/http3/_runtime/flows.py
+++ b/shedsill/http3/_runtime/flows.py
@@ -27,7 +27,7 @@
 from shedsill.http3._answers import Header
 from shedsill.http3._effects import Deliver, RequireRetry
 from shedsill.http3._keys import CONNECTION_ID_LENGTH
-from shedsill.http3._packets import MIN_INITIAL_SIZE
+from shedsill.http3._packets import MIN_INITIAL_BYTES
 from shedsill.http3._runtime.exchange import Body, Exchange, encode_text, read_headers
 from shedsill.http3._runtime.quic import (
     Minter,
@@ -146,7 +146,7 @@
         ):
             self._negotiate_version(effect, header)
             return None
-        if len(effect.datagram) < MIN_INITIAL_SIZE:
+        if len(effect.datagram) < MIN_INITIAL_BYTES:
             return None
         original, retried = header.destination_cid, None
         if header.token:
@@ -159,9 +159,9 @@
                 )
                 retried = header.destination_cid
             except ValueError:
-                if not effect.fresh:
+                if not effect.can_open_connection:
                     return None
-        elif not effect.fresh:
+        elif not effect.can_open_connection:
             return None
         return self._add_flow(effect, configuration, original, retried)
 
--- a/shedsill/http3/_settling.py
+++ b/shedsill/http3/_settling.py
@@ -20,7 +20,7 @@
 )
 from shedsill.http3._agent_state import AgentState
 from shedsill.http3._answers import RecordedAnswer, RequestOutcome
-from shedsill.http3._effects import Answer, CutAnswer, Effect, Note, Refuse
+from shedsill.http3._effects import SendAnswer, ResetAnswerStream, Effect, Note, RefuseRequest
 from shedsill.http3._events import (
     RequestArrived,
 )
@@ -74,7 +74,7 @@
     for number in (request.number, *waiters):
         state, waiter = take_out(state, number)
         ticket = waiter.ticket if waiter else request.ticket
-        effects.append(Answer(request=number, answer=answer, ticket=ticket))
+        effects.append(SendAnswer(request=number, answer=answer, ticket=ticket))
     return state, effects
 
 
@@ -96,7 +96,7 @@
         fields = {**describe_request(refused), "reason": reason}
         effects.append(Note(event=LogEvent.REQUEST_REFUSED, fields=fields))
         effects.append(
-            Refuse(
+            RefuseRequest(
                 request=number,
                 status=STATUS_UNAVAILABLE,
                 outcome=RequestOutcome.NOT_RUN,
@@ -117,7 +117,7 @@
     if request.began:
         effects: list[Effect] = [
             note_request(LogEvent.ANSWER_CUT, request),
-            CutAnswer(request=request.number),
+            ResetAnswerStream(request=request.number),
         ]
     else:
         effects = [
@@ -188,12 +188,12 @@
     status: int,
     reason: str,
     event: RequestArrived | None = None,
-) -> Refuse:
+) -> RefuseRequest:
     """Return the refusal of a request of which nothing ran."""
     retry_after = 0
     if event is not None:
         retry_after = get_retry_after(state.admission, event.now, event.seed)
-    return Refuse(
+    return RefuseRequest(
         request=request.number,
         status=status,
         outcome=RequestOutcome.NOT_RUN,
@@ -203,9 +203,9 @@
     )
 
 
-def say_unknown(request: Request, status: int, reason: str) -> Refuse:
+def say_unknown(request: Request, status: int, reason: str) -> RefuseRequest:
     """Return the answer to a request that may have run."""
-    return Refuse(
+    return RefuseRequest(
         request=request.number,
         status=status,
         outcome=RequestOutcome.UNKNOWN,
--- a/shedsill/http3/_status.py
+++ b/shedsill/http3/_status.py
@@ -10,10 +10,10 @@
 from shedsill.coordination.platform import Conflict, Put, Stored
 from shedsill.http3._effects import CallPlatform, Effect
 from shedsill.http3._events import PlatformAnswered
-from shedsill.http3._purposes import Purpose
+from shedsill.http3._platform_purposes import Purpose
 
 NODE_KIND = "node"
-STATUS_PAUSE = 1.0
+STATUS_WRITE_INTERVAL_SECONDS = 1.0
 
 
 class NodeStatus(enum.Enum):
@@ -57,10 +57,10 @@
     value = {"status": status.value, **details}
     call = Put(kind=NODE_KIND, name=name, value=value, expected=writer.version)
     effect = CallPlatform(purpose=Purpose.NODE, call=call, name=status.value)
-    return evolve(writer, due=now + STATUS_PAUSE), [effect]
+    return evolve(writer, due=now + STATUS_WRITE_INTERVAL_SECONDS), [effect]
 
 
-def take_status_outcome(writer: StatusWriter, event: PlatformAnswered) -> StatusWriter:
+def record_status_outcome(writer: StatusWriter, event: PlatformAnswered) -> StatusWriter:
     """Note what became of a write."""
     match event.outcome:
         case Stored(version=version):
--- a/shedsill/testing/embedded.py
+++ b/shedsill/testing/embedded.py
@@ -110,7 +110,7 @@
             seeds=self._seeds,
             service_host=address.host,
             limits=FlowLimits(),
-            settings=BalancerSettings(quiet=QUIET),
+            settings=BalancerSettings(stop_idle_timeout=QUIET),
         )
         balancer = Balancer(
             options,
--- a/shedsill/testing/world.py
+++ b/shedsill/testing/world.py
@@ -29,7 +29,7 @@
 )
 from shedsill.http3 import _effects as effects
 from shedsill.http3 import _events as events
-from shedsill.http3._acceptance import Acceptor
+from shedsill.http3._acceptor import Acceptor
 from shedsill.http3._admission import Admission, AdmissionSettings
 from shedsill.http3._agent_state import AgentSettings, AgentState, get_load
 from shedsill.http3._answers import Header, RecordedAnswer, RequestOutcome
@@ -40,7 +40,7 @@
 from shedsill.http3._frames import ToCaller
 from shedsill.http3._keys import CONNECTION_ID_LENGTH, KeyRing, Route
 from shedsill.http3._node import Node
-from shedsill.http3._packets import MIN_INITIAL_SIZE, read_packet
+from shedsill.http3._packets import MIN_INITIAL_BYTES, read_packet_header
 from shedsill.http3._peers import Handover as HandoverMessage
 from shedsill.http3._peers import decode_handover, encode_handover
 from shedsill.http3._reducer import reduce
@@ -168,7 +168,7 @@
             address=address,
             balancer=True,
             incarnation=next(self._starts),
-            seeds=self._list_balancer_addresses(),
+            seed_addresses=self._list_balancer_addresses(),
         )
         lease = Lease(kind="lease", name="acceptor", node=name, time_to_live=3.0)
         state = BalancerState(node=node, keys=KEYS, acceptor=Acceptor(lease=lease))
@@ -182,7 +182,7 @@
             address=self._make_address(name),
             balancer=False,
             incarnation=next(self._starts) * 100,
-            seeds=self._list_balancer_addresses(),
+            seed_addresses=self._list_balancer_addresses(),
         )
         state = AgentState(
             node=node,
@@ -257,7 +257,7 @@
 
     def _send_first(self, flow: CallerFlow) -> None:
         head = bytes([0xC0, 0, 0, 0, 1, 8]) + flow.first_cid + bytes([0, 0])
-        rest = MIN_INITIAL_SIZE - len(head) - 2
+        rest = MIN_INITIAL_BYTES - len(head) - 2
         datagram = head + (0x4000 | rest).to_bytes(2, "big")
         datagram += flow.number.to_bytes(4, "big") + bytes(rest - 4)
         self.messages.append(ToBalancer(flow, datagram))
@@ -385,7 +385,7 @@
             case PeerCall():
                 self._fail_peer_call(message, gone=False)
             case HandoverCall(node=node):
-                done = events.HandoverDone(taken=False, now=self.now)
+                done = events.HandoverDone(accepted=False, now=self.now)
                 self.dispatch(node, done)
         self.check()
 
@@ -562,7 +562,7 @@
                 )
             case effects.PullConfiguration(peer=peer):
                 self.messages.append(PullMessage(process.name, peer))
-            case effects.HandOver(peer=peer, upstream=upstream, transfers=transfers):
+            case effects.SendHandover(peer=peer, upstream=upstream, transfers=transfers):
                 call = HandoverCall(process.name, peer, upstream, transfers)
                 self.messages.append(call)
             case effects.Exit():
@@ -580,9 +580,9 @@
         if exchange is None:
             return
         match effect:
-            case effects.StartUpstream():
+            case effects.SendUpstreamRequest():
                 self._start_run(process, exchange)
-            case effects.AbortUpstream(request=request):
+            case effects.AbortUpstreamRequest(request=request):
                 upstream = self.upstreams[process.name]
                 incarnation = process.state.node.incarnation
                 aborted = [
@@ -592,13 +592,13 @@
                     and run.running
                 ]
                 self._cancel(upstream, aborted)
-            case effects.Answer(answer=answer, ticket=ticket, outcome=outcome):
+            case effects.SendAnswer(answer=answer, ticket=ticket, outcome=outcome):
                 self._answer(process, exchange, outcome, answer.body, ticket, 0)
-            case effects.Refuse(outcome=outcome, ticket=ticket, retry_after=pause):
+            case effects.RefuseRequest(outcome=outcome, ticket=ticket, retry_after=pause):
                 self._answer(process, exchange, outcome, b"", ticket, pause)
-            case effects.CutAnswer():
+            case effects.ResetAnswerStream():
                 process.exchanges.pop(exchange.number, None)
-            case effects.PassRequest(peer=peer):
+            case effects.ForwardRequest(peer=peer):
                 call = PeerCall(
                     process.name,
                     exchange.number,
@@ -607,7 +607,7 @@
                     exchange.attempt,
                 )
                 self.messages.append(call)
-            case effects.DeclineRequest():
+            case effects.DeclineForwardedRequest():
                 process.exchanges.pop(exchange.number, None)
                 assert exchange.peer is not None
                 self._fail_peer_call(exchange.peer, gone=True)
@@ -687,7 +687,7 @@
         self.dispatch(process.name, event)
 
     def _deliver_to_quic(self, process: ProcessFake, effect: effects.Deliver) -> None:
-        packet = read_packet(effect.datagram)
+        packet = read_packet_header(effect.datagram)
         assert packet is not None
         self._check_route(process, packet.cid)
         for flow in process.flows.values():
@@ -703,7 +703,7 @@
         """Demand that a minted ID leads to the service and the run that it names."""
         assert isinstance(process.state, AgentState)
         state = process.state
-        for route in KEYS.decode(cid):
+        for route in KEYS.decode_connection_id(cid):
             foreign = route.service != state.service
             if foreign or route.incarnation != state.incarnation:
                 raise OracleError(f"{process.name} took a packet of {route}")
@@ -714,7 +714,7 @@
         assert isinstance(process.state, AgentState)
         state = process.state
         caller_flow = next(f for f in self.flows if f.first_cid == first_cid)
-        cid = KEYS.mint(
+        cid = KEYS.make_connection_id(
             Route(state.upstream, state.service, state.incarnation),
             epoch=state.node.configuration.key_epoch,
             nonce=self.generator.randbytes(6),
@@ -763,7 +763,7 @@
                 path=attempt.path,
                 key=attempt.key,
                 fingerprint=attempt.work.encode(),
-                whole=True,
+                body_complete=True,
                 now=self.now,
                 seed=self.generator.getrandbits(16),
             ),
@@ -879,7 +879,7 @@
             message.node,
             events.PeerFailed(
                 request=message.request,
-                gone=gone,
+                not_accepted=gone,
                 now=self.now,
                 seed=self.generator.getrandbits(16),
             ),
@@ -896,7 +896,7 @@
 
     def _deliver_handover(self, message: HandoverCall) -> None:
         if message.returning:
-            done = events.HandoverDone(taken=True, now=self.now)
+            done = events.HandoverDone(accepted=True, now=self.now)
             self.dispatch(message.node, done)
             return
         handover = HandoverMessage(
@@ -913,7 +913,7 @@
                 message.returning = True
                 self.messages.append(message)
                 return
-        self.dispatch(message.node, events.HandoverDone(taken=False, now=self.now))
+        self.dispatch(message.node, events.HandoverDone(accepted=False, now=self.now))
 
     def check(self) -> None:
         """Raise `OracleError` where a promise does not hold."""
--- a/shedsill/tests/test_acceptance.py
+++ b/shedsill/tests/test_acceptance.py
@@ -21,13 +21,13 @@
     NodeReport,
 )
 from shedsill.coordination.platform import Listing
-from shedsill.http3._acceptance import Acceptor, take_listing
+from shedsill.http3._acceptor import Acceptor, handle_listing
 from shedsill.http3._configuration import (
     AcceptedUpstream,
     Configuration,
     UpstreamState,
 )
-from shedsill.http3._node import Node, Vitals, send_heartbeats
+from shedsill.http3._node import Node, HeartbeatPayload, send_heartbeats
 
 ADDRESS = Address("127.0.0.1", 7000)
 UPSTREAM = AcceptedUpstream(
@@ -65,19 +65,19 @@
     """Whether the next configuration lacks the upstream that drains."""
     acceptor = Acceptor(
         lease=Lease(kind="lease", name="x", node="b1", time_to_live=3.0),
-        present=frozenset(listed),
+        listed_machines=frozenset(listed),
     )
     base = Configuration(generation=3, upstreams=(UPSTREAM,))
     node = evolve(node, configuration=base)
     listing = Listing(objects=(), revision=9)
-    acceptor, _effects = take_listing(acceptor, node, listing, now)
-    wanted = acceptor.pending or base
+    acceptor, _effects = handle_listing(acceptor, node, listing, now)
+    wanted = acceptor.pending_configuration or base
     return not wanted.upstreams
 
 
 def beat(node: Node, now: float, *heard: str) -> Node:
     """Let a beat pass at which a node has just heard of others."""
-    node, _effects = send_heartbeats(node, Vitals(), now=now, seed=1)
+    node, _effects = send_heartbeats(node, HeartbeatPayload(), now=now, seed=1)
     return evolve(node, membership=make_node(now, *heard).membership)
 
 
--- a/shedsill/tests/test_guards.py
+++ b/shedsill/tests/test_guards.py
@@ -24,7 +24,7 @@
     _routing,
     _settling,
 )
-from shedsill.http3._acceptance import Acceptor
+from shedsill.http3._acceptor import Acceptor
 from shedsill.http3._answers import RequestOutcome
 from shedsill.http3._resources import Action
 from shedsill.tests.test_faults import (
@@ -122,7 +122,7 @@
 
 
 def _offer(state, configuration):
-    node, _effects = _node.offer_configuration(state.node, configuration)
+    node, _effects = _node.apply_newer_configuration(state.node, configuration)
     return evolve(state, node=node)
 
 
@@ -316,7 +316,7 @@
         outage_does_not_stop_the_spread,
     ),
     "silent candidate is skipped": (
-        Guard(_routing, "is_silent", lambda _link, _now: False),
+        Guard(_routing, "is_silent", lambda _agent, _now: False),
         dead_candidate_is_passed_over,
     ),
     "incarnation in the ID": (
--- a/shedsill/tests/test_placement.py
+++ b/shedsill/tests/test_placement.py
@@ -9,8 +9,8 @@
     HashOnly,
     Policy,
     TwoCandidates,
-    choose_alternate,
-    get_fill,
+    is_alternate_preferred,
+    get_utilization,
 )
 
 LIMIT = 100
@@ -41,16 +41,16 @@
     policy: Policy, own: Load, other: Load, age: float, passed: bool
 ) -> None:
     alternate = Candidate(upstream=2, load=other, age=age)
-    assert choose_alternate(policy, own, alternate) == passed
+    assert is_alternate_preferred(policy, own, alternate) == passed
 
 
 def test_without_an_alternate_the_flow_stays() -> None:
-    assert not choose_alternate(TwoCandidates(), make_load(LIMIT), None)
+    assert not is_alternate_preferred(TwoCandidates(), make_load(LIMIT), None)
 
 
 def test_slow_start_makes_a_fresh_upstream_look_fuller() -> None:
     alternate = Candidate(upstream=2, load=make_load(20), age=0.0)
     own = make_load(5)
-    assert not choose_alternate(TwoCandidates(), own, alternate)
-    assert choose_alternate(TwoCandidates(), own, alternate, warmth=0.1)
-    assert get_fill(own, warmth=0.0) == get_fill(own, warmth=0.1)
+    assert not is_alternate_preferred(TwoCandidates(), own, alternate)
+    assert is_alternate_preferred(TwoCandidates(), own, alternate, slow_start_share=0.1)
+    assert get_utilization(own, slow_start_share=0.0) == get_utilization(own, slow_start_share=0.1)
--- a/shedsill/tests/test_quic.py
+++ b/shedsill/tests/test_quic.py
@@ -15,7 +15,7 @@
 from shedsill.coordination.platform import MemoryPlatform, Put
 from shedsill.http3._frames import ToUpstream, encode_frame
 from shedsill.http3._keys import CONNECTION_ID_LENGTH, KeyRing, Route
-from shedsill.http3._packets import PacketKind, read_packet
+from shedsill.http3._packets import PacketKind, read_packet_header
 from shedsill.http3._runtime.certificates import CertificateLoader, parse_certificate
 from shedsill.http3._runtime.quic import (
     MAX_UDP_PAYLOAD,
@@ -35,7 +35,7 @@
 
 
 def mint() -> bytes:
-    return KEYS.mint(ROUTE, epoch=1, nonce=os.urandom(6))
+    return KEYS.make_connection_id(ROUTE, epoch=1, nonce=os.urandom(6))
 
 
 def make_client() -> QuicConnection:
@@ -75,10 +75,10 @@
     client, server = connect()
     issued = [entry.cid for entry in server._host_cids]
     assert len(issued) > 1
-    assert all(KEYS.decode(cid) == (ROUTE,) for cid in issued)
+    assert all(KEYS.decode_connection_id(cid) == (ROUTE,) for cid in issued)
     assert client._peer_cid.cid in issued
     for entry in client._peer_cid_available:
-        assert KEYS.decode(entry.cid) == (ROUTE,)
+        assert KEYS.decode_connection_id(entry.cid) == (ROUTE,)
         assert entry.stateless_reset_token == KEYS.make_reset_token(entry.cid)
 
 
@@ -120,7 +120,7 @@
 def test_refusal_ends_a_connection_attempt() -> None:
     client = make_client()
     ((datagram, _address), *_rest) = client.datagrams_to_send(now=0.0)
-    packet = read_packet(datagram)
+    packet = read_packet_header(datagram)
     assert packet is not None
     assert packet.kind == PacketKind.INITIAL
     client.receive_datagram(make_refusal(datagram), SERVER, now=0.1)
--- a/shedsill/tests/test_routing.py
+++ b/shedsill/tests/test_routing.py
@@ -9,7 +9,7 @@
 from shedsill._addresses import Address
 from shedsill._catalogue import LogEvent
 from shedsill._limits import Rate
-from shedsill.http3._accepting import Inputs, accept
+from shedsill.http3._configuration_rules import AcceptanceInputs, accept_resources
 from shedsill.http3._configuration import Configuration
 from shedsill.http3._effects import Effect, Note, Send
 from shedsill.http3._events import CallerDatagram
@@ -19,19 +19,19 @@
 from shedsill.http3._routing import (
     FlowLimits,
     Router,
-    note_answer,
-    note_question,
+    record_agent_load,
+    record_awaited_answer,
     route_datagram,
 )
 
 KEYS = KeyRing((bytes(range(32)),))
 OLD_KEYS = KeyRing((bytes(32),))
-INPUTS = Inputs(
+INPUTS = AcceptanceInputs(
     services=(
         Service(name="dispatcher", address="10.0.0.1:443"),
         Service(name="intake", address="10.0.0.2:443"),
     ),
-    sets=(
+    upstream_sets=(
         UpstreamSet(
             name="dispatcher",
             service="dispatcher",
@@ -47,7 +47,7 @@
         ),
     ),
 )
-CONFIGURATION = accept(Configuration(), INPUTS).configuration
+CONFIGURATION = accept_resources(Configuration(), INPUTS).configuration
 DISPATCHER, INTAKE = 1, 2
 
 
@@ -59,7 +59,7 @@
 
 def make_short(upstream: int, service: int, *, keys: KeyRing = KEYS, epoch=1) -> bytes:
     route = Route(upstream, service, 5)
-    return bytes([0x40]) + keys.mint(route, epoch=epoch, nonce=bytes(6)) + bytes(40)
+    return bytes([0x40]) + keys.make_connection_id(route, epoch=epoch, nonce=bytes(6)) + bytes(40)
 
 
 def route(
@@ -127,7 +127,7 @@
 def test_draining_upstream_gets_no_new_flow_but_keeps_its_old_ones() -> None:
     change = Change(name="d", action=Action.DRAIN, target="d1")
     inputs = evolve(INPUTS, changes=(change,))
-    draining = accept(CONFIGURATION, inputs).configuration
+    draining = accept_resources(CONFIGURATION, inputs).configuration
     for _ in range(30):
         _router, effects = route(make_initial(os.urandom(8)), configuration=draining)
         assert get_target(effects) == 2
@@ -147,19 +147,19 @@
 
 def test_silent_agent_is_passed_over_until_it_answers() -> None:
     datagrams = [make_initial(os.urandom(8)) for _ in range(20)]
-    router = note_question(Router(), 1, 1.0)
+    router = record_awaited_answer(Router(), 1, 1.0)
     targets = {get_target(route(d, router=router, now=1.2)[1]) for d in datagrams}
     assert targets == {1, 2}
     targets = {get_target(route(d, router=router, now=1.5)[1]) for d in datagrams}
     assert targets == {2}
-    router = note_answer(router, 1, Load(), 2.0)
+    router = record_agent_load(router, 1, Load(), 2.0)
     targets = {get_target(route(d, router=router, now=2.1)[1]) for d in datagrams}
     assert targets == {1, 2}
 
 
 def test_one_caller_cannot_use_up_the_others_flows() -> None:
     limits = FlowLimits(
-        caller=Rate(per_second=1.0, burst=5.0), total=Rate(per_second=1.0, burst=50.0)
+        per_caller=Rate(per_second=1.0, burst=5.0), per_service=Rate(per_second=1.0, burst=50.0)
     )
     router = Router(limits=limits)
     outcomes = []
@@ -175,7 +175,7 @@
 
 def test_flood_on_one_service_leaves_the_others_new_flows_alone() -> None:
     limits = FlowLimits(
-        caller=Rate(per_second=1.0, burst=9.0), total=Rate(per_second=1.0, burst=10.0)
+        per_caller=Rate(per_second=1.0, burst=9.0), per_service=Rate(per_second=1.0, burst=10.0)
     )
     router = Router(limits=limits)
     for index in range(100):
@@ -193,7 +193,7 @@
 
 def test_limits_leave_open_flows_alone() -> None:
     limits = FlowLimits(
-        caller=Rate(per_second=1.0, burst=1.0), total=Rate(per_second=1.0, burst=1.0)
+        per_caller=Rate(per_second=1.0, burst=1.0), per_service=Rate(per_second=1.0, burst=1.0)
     )
     router = Router(limits=limits)
     for _ in range(50):
