--- a/benchmarks/ledger.py
+++ b/benchmarks/ledger.py
@@ -26,11 +26,11 @@
 from shedsill.datagram._backlog import (
     Backlog,
     Forecast,
-    HeldRequest,
-    choose_next,
-    hold,
+    QueuedRequest,
+    choose_next_request,
+    add_request,
 )
-from shedsill.datagram._packet import COPY_DELAYS
+from shedsill.datagram._packet import SYN_COPY_DELAYS_SECONDS
 
 WINDOW = 2.0
 """Seconds of the bench's windows."""
@@ -151,7 +151,7 @@
 def find_arrival(sent: float, dark: tuple[float, float]) -> float | None:
     """Return when the first copy of an opening arrives, or None if none does."""
     for start in (sent, sent + OPENING_LIMIT + RETRY_PAUSE):
-        for delay in COPY_DELAYS:
+        for delay in SYN_COPY_DELAYS_SECONDS:
             if not dark[0] <= start + delay < dark[1]:
                 return start + delay
     return None
@@ -219,26 +219,26 @@
             _arrival, sent, kind = arrivals[number]
             flow = number.to_bytes(4, "big")
             waiting[flow] = sent, kind
-            request = HeldRequest(
+            request = QueuedRequest(
                 packets=[],
-                since=now,
-                asked=sent,
+                queued_at=now,
+                requested_at=sent,
                 urgency=kind.urgency,
-                wanted_by=sent + kind.objective,
-                deadline=sent + kind.timeout,
+                objective_at=sent + kind.objective,
+                deadline_at=sent + kind.timeout,
             )
-            hold(backlog, flow, request)
+            add_request(backlog, flow, request)
             number += 1
         cold = dark[1] <= now < cold_until
         forecast = Forecast(
             now=now,
             slots=slots,
             cold_until=cold_until if cold else 0.0,
-            cold_service=mean * deployment.cold_factor,
-            service=mean,
+            cold_service_time=mean * deployment.cold_factor,
+            service_time=mean,
         )
-        flow = choose_next(backlog, forecast)
-        del backlog.held[flow]
+        flow = choose_next_request(backlog, forecast)
+        del backlog.requests[flow]
         sent, kind = waiting.pop(flow)
         work = generator.expovariate(1 / kind.work)
         work *= deployment.cold_factor if cold else 1.0
--- a/benchmarks/opaque.py
+++ b/benchmarks/opaque.py
@@ -12,7 +12,7 @@
     CallerPacket,
     ForwardedPacket,
     MessageReceived,
-    TableOffered,
+    TableReceived,
 )
 from shedsill.datagram._forwarding import ForwardingTable, Route, ServiceShare
 from shedsill.datagram._messages import (
@@ -41,7 +41,7 @@
     route = Route(name="r", shares=(ServiceShare(service=SERVICE),))
     endpoint = struct.pack(">IH", SERVICE_HOST, 443)
     table = ForwardingTable(version=1, routes={endpoint: route}, idle_timeout=60.0)
-    reduce(state, TableOffered(table=table, source="", now=1.0))
+    reduce(state, TableReceived(table=table, source="", now=1.0))
     for number in range(agents):
         upstream = NodeReport(
             host=f"10.1.0.{number}",
--- a/properties/test_datagram_messages.py
+++ b/properties/test_datagram_messages.py
@@ -128,7 +128,7 @@
     ReportsListed,
     reports=st.lists(reports, max_size=4).map(tuple),
     removed=st.lists(hosts, max_size=2).map(tuple),
-    whole=st.booleans(),
+    complete=st.booleans(),
     now=st.just(0.0),
 )
 steps = st.one_of(
--- a/properties/test_datagram_world.py
+++ b/properties/test_datagram_world.py
@@ -185,8 +185,8 @@
             state = self.world.nodes[host]
             assert not (state.flows or state.searches or state.placing)
         for host in AGENTS:
-            assert not self.world.nodes[host].backlog.held
-            assert self.world.nodes[host].working == 0
+            assert not self.world.nodes[host].backlog.requests
+            assert self.world.nodes[host].running == 0
 
 
 TestFlows = FlowsMachine.TestCase
--- a/shedsill/datagram/_agent.py
+++ b/shedsill/datagram/_agent.py
@@ -14,12 +14,12 @@
 from shedsill._shared_effects import Exit, Note
 from shedsill.datagram import _slots
 from shedsill.datagram._agent_state import (
-    NEWS_LIMIT,
+    RECENT_BALANCER_SECONDS,
     AgentState,
     Phase,
-    make_load,
-    publish,
-    repeat_news,
+    build_load,
+    publish_report,
+    repeat_announcement,
 )
 from shedsill.datagram._effects import CheckUpstream, Effect, SendMessage
 from shedsill.datagram._events import MessageReceived, StopRequested, Tick
@@ -31,40 +31,40 @@
     Roster,
     UpstreamState,
 )
-from shedsill.datagram._pauses import measure_pause
-from shedsill.datagram._upstream import wants_check
+from shedsill.datagram._process_pauses import measure_pause
+from shedsill.datagram._upstream import needs_check
 
-CLOSED_LINGER = 3.0
+CLOSED_FLOW_SECONDS = 3.0
 """Seconds for which a closed flow is kept, for packets that are sent again."""
 
-HALF_OPEN_LIMIT = 5.0
+HALF_OPEN_TIMEOUT_SECONDS = 5.0
 """Seconds after which a flow that its caller never opened here is forgotten;
 callers give an opening up after 1.4 s."""
 
-MAX_TRIED = 4096
+MAX_TRIAL_FLOWS = 4096
 """Flows whose trial packet the upstream has neither taken nor bounced; its own
 packets teach the agent all the same, only the balancer hears of it later."""
 
-SWEEP_INTERVAL = 0.5
+SWEEP_INTERVAL_SECONDS = 0.5
 """Seconds between looks for flows to forget."""
 
 
-def start(state: AgentState, now: float) -> None:
+def start_agent(state: AgentState, now: float) -> None:
     """Begin; nothing is published before the upstream's first heartbeat.
 
     A report of an earlier run of this agent may still be in the store and stays
     good if the upstream lives.  A VM without an upstream is not made known.
     """
-    state.started = state.average_at = state.last_tick = now
+    state.started_at = state.average_updated_at = state.last_tick_at = now
 
 
-def take_message(state: AgentState, event: MessageReceived) -> list[Effect]:
+def handle_message(state: AgentState, event: MessageReceived) -> list[Effect]:
     """Answer a balancer."""
     now = event.now
     state.balancers[event.source] = now
     match event.message:
         case Probe():
-            report = replace(state.report, load=make_load(state, now))
+            report = replace(state.report, load=build_load(state, now))
             return [SendMessage(event.source, Announcement(report=report))]
         case Locate(flows=flows):
             return [SendMessage(event.source, _locate(state, flows, now))]
@@ -79,7 +79,7 @@
         held=[],
         unknown=[],
         unsure=[],
-        load=make_load(state, now),
+        load=build_load(state, now),
     )
     for key in flows:
         flow = state.flows.get(key)
@@ -87,29 +87,29 @@
             flow.phase == Phase.OPEN or flow.initial_seq is not None
         ):
             located.held.append(key)
-        elif state.complete or state.report.state == UpstreamState.GONE:
+        elif state.knows_all_flows or state.report.state == UpstreamState.GONE:
             located.unknown.append(key)
         else:
             located.unsure.append(key)
     return located
 
 
-def take_tick(state: AgentState, event: Tick) -> list[Effect]:
+def handle_tick(state: AgentState, event: Tick) -> list[Effect]:
     """Do what has become due."""
     now = event.now
     effects: list[Effect] = []
-    pause = measure_pause(state.last_tick, now)
-    state.last_tick = now
+    pause = measure_pause(state.last_tick_at, now)
+    state.last_tick_at = now
     if pause:
         _discount_pause(state, pause, now)
-    if now >= state.next_sweep:
-        state.next_sweep = now + SWEEP_INTERVAL
+    if now >= state.next_sweep_at:
+        state.next_sweep_at = now + SWEEP_INTERVAL_SECONDS
         effects += _sweep(state, now)
-    effects += _slots.take_tick(state, now)
-    effects += repeat_news(state, now)
-    if wants_check(state, now):
-        state.checking = True
-        state.checked_at = now
+    effects += _slots.expire_requests(state, now)
+    effects += repeat_announcement(state, now)
+    if needs_check(state, now):
+        state.check_pending = True
+        state.last_check_at = now
         effects.append(CheckUpstream())
     return effects + _finish_stop(state, now)
 
@@ -120,36 +120,36 @@
     Times are moved on by the pause, but not beyond now: some may be of packets that
     were read since.
     """
-    state.heartbeat_missing_since = min(state.heartbeat_missing_since + pause, now)
-    if state.owed_since is not None:
-        state.owed_since = min(state.owed_since + pause, now)
+    state.heartbeat_silence_started_at = min(state.heartbeat_silence_started_at + pause, now)
+    if state.unanswered_since is not None:
+        state.unanswered_since = min(state.unanswered_since + pause, now)
     for flow in state.flows.values():
-        flow.seen = min(flow.seen + pause, now)
-        flow.working_since = min(flow.working_since + pause, now)
+        flow.last_packet_at = min(flow.last_packet_at + pause, now)
+        flow.request_sent_at = min(flow.request_sent_at + pause, now)
 
 
 def _sweep(state: AgentState, now: float) -> list[Effect]:
     """Forget flows that have rested for too long."""
     effects: list[Effect] = []
     for key, flow in list(state.flows.items()):
-        rest = now - flow.seen
-        limit = HALF_OPEN_LIMIT if flow.phase == Phase.HALF_OPEN else None
+        rest = now - flow.last_packet_at
+        limit = HALF_OPEN_TIMEOUT_SECONDS if flow.phase == Phase.HALF_OPEN else None
         if flow.closed:
-            limit = CLOSED_LINGER
+            limit = CLOSED_FLOW_SECONDS
         if rest > (limit or state.flow_lifetime):
             effects += _slots.drop_request(state, key, now)
             del state.flows[key]
     for host, at in list(state.balancers.items()):
-        if now - at > NEWS_LIMIT:
+        if now - at > RECENT_BALANCER_SECONDS:
             del state.balancers[host]
-    if len(state.tried) > MAX_TRIED:
-        state.tried.clear()
-    if not state.complete and now - state.started > state.flow_lifetime:
-        state.complete = True
+    if len(state.trial_flows) > MAX_TRIAL_FLOWS:
+        state.trial_flows.clear()
+    if not state.knows_all_flows and now - state.started_at > state.flow_lifetime:
+        state.knows_all_flows = True
     return effects
 
 
-def take_stop(state: AgentState, event: StopRequested) -> list[Effect]:
+def handle_stop(state: AgentState, event: StopRequested) -> list[Effect]:
     """Begin a planned stop: no new flows, and end when no request is waiting.
 
     Before the first heartbeat there is no upstream to speak for, and nothing of
@@ -162,7 +162,7 @@
     note = Note(event=LogEvent.NODE_STOPPING, fields={"flows": len(state.flows)})
     if not state.report.boot:
         return [note]
-    return [note, *publish(state, event.now)]
+    return [note, *publish_report(state, event.now)]
 
 
 def _finish_stop(state: AgentState, now: float) -> list[Effect]:
--- a/shedsill/datagram/_agent_packets.py
+++ b/shedsill/datagram/_agent_packets.py
@@ -9,11 +9,11 @@
     AgentFlow,
     AgentState,
     Phase,
-    make_load,
-    note_owed,
+    build_load,
+    record_sent_packet,
     return_packet,
-    set_state,
-    takes_flows,
+    update_upstream_state,
+    can_accept_flows,
 )
 from shedsill.datagram._effects import (
     Effect,
@@ -35,9 +35,9 @@
     RST,
     SYN,
     Packet,
-    acknowledges,
-    get_copy_delay,
-    is_opening,
+    is_ack_in_window,
+    get_syn_copy_delay,
+    is_syn,
 )
 from shedsill.datagram._selection import REFUSAL_PAUSE, number_service
 
@@ -45,7 +45,7 @@
 """Flows remembered; far above the connections that one upstream may have."""
 
 
-def take_forwarded(state: AgentState, event: ForwardedPacket) -> list[Effect]:
+def handle_forwarded_packet(state: AgentState, event: ForwardedPacket) -> list[Effect]:
     """Decide whether the upstream gets a packet."""
     packet, now = event.packet, event.now
     state.balancers[event.balancer] = now
@@ -53,12 +53,12 @@
         return return_packet(
             state, packet, event.balancer, ReturnReason.WRONG_SERVICE, now
         )
-    if is_opening(packet):
+    if is_syn(packet):
         return _take_opening(state, packet, event.balancer, now)
     flow = state.flows.get(packet.flow)
     if flow is None:
         return _take_unknown(state, packet, event.balancer, now)
-    unchosen = flow.initial_seq is not None and not acknowledges(
+    unchosen = flow.initial_seq is not None and not is_ack_in_window(
         packet, flow.initial_seq
     )
     if flow.phase == Phase.HALF_OPEN and unchosen:
@@ -67,43 +67,43 @@
     if flow.initial_seq is not None:
         # Before its upstream has answered, the caller may have chosen another one.
         flow.phase = Phase.OPEN
-    flow.seen = now
+    flow.last_packet_at = now
     flow.balancer = event.balancer
     flow.caller_ack = packet.ack
     if packet.flags & (FIN | RST):
         flow.closed = True
-        _slots.note_closed(state, packet.flow)
+        _slots.record_caller_close(state, packet.flow)
     if packet.flags & RST:
         dropped = _slots.drop_request(state, packet.flow, now)
         return [SendToUpstream(packet, event.balancer), *dropped]
     if packet.length:
-        return _slots.take_content(state, flow, packet, now)
+        return _slots.handle_request_packet(state, flow, packet, now)
     return [SendToUpstream(packet, event.balancer)]
 
 
 def _take_opening(
     state: AgentState, packet: Packet, balancer: str, now: float
 ) -> list[Effect]:
-    if not takes_flows(state) or now < state.refusing_until:
+    if not can_accept_flows(state) or now < state.refused_until:
         return return_packet(state, packet, balancer, ReturnReason.NOT_TAKING, now)
     flow = state.flows.get(packet.flow)
     if flow is None:
         if len(state.flows) >= MAX_FLOWS:
             return return_packet(state, packet, balancer, ReturnReason.NOT_TAKING, now)
-        if not _slots.can_answer(state, packet, now):
+        if not _slots.can_answer_in_time(state, packet, now):
             return return_packet(state, packet, balancer, ReturnReason.OVERLOADED, now)
         flow = AgentFlow(
             phase=Phase.HALF_OPEN,
-            seen=now,
+            last_packet_at=now,
             balancer=balancer,
-            delay=get_copy_delay(packet),
+            syn_copy_delay=get_syn_copy_delay(packet),
         )
         state.flows[packet.flow] = flow
-        if flow.delay:
-            state.backlog.openings_lost_at = now - flow.delay
-    flow.seen = now
+        if flow.syn_copy_delay:
+            state.backlog.syn_lost_at = now - flow.syn_copy_delay
+    flow.last_packet_at = now
     flow.balancer = balancer
-    note_owed(state, now)
+    record_sent_packet(state, now)
     return [SendToUpstream(packet, balancer)]
 
 
@@ -111,21 +111,21 @@
     state: AgentState, packet: Packet, balancer: str, now: float
 ) -> list[Effect]:
     """Hand a packet back, or let the upstream tell whether it holds the flow."""
-    if state.complete or state.report.state == UpstreamState.GONE:
+    if state.knows_all_flows or state.report.state == UpstreamState.GONE:
         return return_packet(state, packet, balancer, ReturnReason.NOT_HELD, now)
-    if len(state.tried) < MAX_FLOWS:
-        state.tried[packet.flow] = balancer
-    note_owed(state, now)
+    if len(state.trial_flows) < MAX_FLOWS:
+        state.trial_flows[packet.flow] = balancer
+    record_sent_packet(state, now)
     return [SendToUpstream(packet, balancer)]
 
 
-def take_upstream_packet(state: AgentState, event: UpstreamPacket) -> list[Effect]:
+def handle_upstream_packet(state: AgentState, event: UpstreamPacket) -> list[Effect]:
     """Pass a packet on to its caller, and learn from it."""
     packet, now = event.packet, event.now
-    state.owed_since = None
+    state.unanswered_since = None
     effects: list[Effect] = []
     if state.report.state == UpstreamState.UNRESPONSIVE:
-        effects += set_state(state, UpstreamState.READY, now)
+        effects += update_upstream_state(state, UpstreamState.READY, now)
     if packet.flags & BOUNCED:
         return effects + _take_bounced(state, packet, now)
     flow = state.flows.get(packet.flow)
@@ -151,7 +151,7 @@
         flow=packet.flow,
         boot=state.report.boot,
         initial_seq=packet.seq,
-        load=make_load(state, now),
+        load=build_load(state, now),
     )
     fields = {"flow": packet.flow, "balancer": flow.balancer, "busy": state.busy}
     return [
@@ -165,21 +165,21 @@
 ) -> list[Effect]:
     effects: list[Effect] = []
     if flow is None and packet.flags & RST:
-        state.tried.pop(packet.flow, None)
+        state.trial_flows.pop(packet.flow, None)
         return effects
     if flow is None:
-        flow = AgentFlow(phase=Phase.OPEN, seen=now, balancer="", taken_at=now)
+        flow = AgentFlow(phase=Phase.OPEN, last_packet_at=now, balancer="", taken_at=now)
         state.flows[packet.flow] = flow
-        flow.caller_end = packet.ack
+        flow.caller_next_seq = packet.ack
         effects += _report_found(state, packet.flow, now)
     flow.phase = Phase.OPEN
-    flow.seen = now
+    flow.last_packet_at = now
     # The FIN of a flow of one request often comes before its answer.  Where the
     # caller has closed, it only closes the other end.
-    overtaking = packet.flags & FIN and flow.working and not flow.closed
+    overtaking = packet.flags & FIN and flow.running and not flow.closed
     if packet.flags & (FIN | RST):
         flow.closed = True
-    effects += _slots.take_acknowledgement(state, flow, packet, now)
+    effects += _slots.handle_acknowledgement(state, flow, packet, now)
     if packet.length or overtaking:
         effects += _slots.finish_request(state, packet.flow, flow, now, answered=True)
     elif packet.flags & (FIN | RST):
@@ -189,7 +189,7 @@
 
 def _report_found(state: AgentState, key: bytes, now: float) -> list[Effect]:
     """Tell a balancer that the upstream holds the flow that it asked for."""
-    balancer = state.tried.pop(key, "")
+    balancer = state.trial_flows.pop(key, "")
     fields = {"flow": key, "balancer": balancer, "boot": state.report.boot}
     note = Note(event=LogEvent.FLOW_RELEARNED, fields=fields)
     if not balancer:
@@ -199,7 +199,7 @@
         held=[key],
         unknown=[],
         unsure=[],
-        load=make_load(state, now),
+        load=build_load(state, now),
     )
     return [note, SendMessage(balancer, located)]
 
@@ -214,17 +214,17 @@
 
     If the upstream held the flow before, no other one can: its caller is told.
     """
-    state.tried.pop(packet.flow, None)
+    state.trial_flows.pop(packet.flow, None)
     flow = state.flows.get(packet.flow)
     effects = _slots.drop_request(state, packet.flow, now)
     state.flows.pop(packet.flow, None)
-    opening = is_opening(packet)
+    opening = is_syn(packet)
     if flow is not None and not opening and _was_held(flow):
         fields = {"flows": 1, "reason": "bounced", "boot": state.report.boot}
         note = Note(event=LogEvent.FLOWS_FREED, fields=fields)
         return [*effects, ResetFlow(packet.flow, flow.caller_ack), note]
     if opening:
-        state.refusing_until = now + REFUSAL_PAUSE
+        state.refused_until = now + REFUSAL_PAUSE
     reason = ReturnReason.REFUSED if opening else ReturnReason.NOT_HELD
     balancer = packet.balancer or (flow.balancer if flow else "")
     if not balancer:
--- a/shedsill/datagram/_backlog.py
+++ b/shedsill/datagram/_backlog.py
@@ -9,7 +9,7 @@
 earliest deadline before the others.  So a backlog that ends, as after a restart of
 the upstreams, costs callers time but no answers.  Where it does not end, each
 late request saved makes another one late: after one timeout of that, only every
-`RESCUE_EVERY`-th slot goes to a late one.
+`SLOTS_PER_LATE_REQUEST`-th slot goes to a late one.
 
 A request whose caller has closed its end goes last: most such callers have given
 up, but one that only says that it sends no more still gets its answer.
@@ -21,67 +21,67 @@
 
 from msgspec import Struct, field
 
-from shedsill.datagram._packet import COPY_DELAYS, Packet
+from shedsill.datagram._packet import SYN_COPY_DELAYS_SECONDS, Packet
 
-RESCUE_EVERY = 4
+SLOTS_PER_LATE_REQUEST = 4
 """Under lasting overload, one of so many free slots goes to a late request that
 would be lost otherwise.  When all of them did, every request was late."""
 
-SERVICE_MARGIN = 2.0
+LATE_SERVICE_TIME_FACTOR = 2.0
 """Mean service times that a late request is given before its deadline: the
 longest of twenty takes about that where times vary by half of their mean."""
 
-EARLIER_TRY = 1.5
+EARLIER_ATTEMPT_SECONDS = 1.5
 """Seconds that a caller may have spent on an earlier try of its request: callers
 give up an opening without an answer after 1.4 s and try again 0.1 s later, from
 another port and with what is left of the timeout."""
 
 
-class HeldRequest(Struct):
+class QueuedRequest(Struct):
     """A request whose upstream has no free slot.
 
     Attributes
     ----------
     packets : list of Packet
         The flow's content since the request began; other packets pass.
-    since : float
+    queued_at : float
         When it came.
-    asked : float
+    requested_at : float
         When its caller first asked for it, as far as known.
     urgency : int
         Priority of its route; 0 is the highest.
-    wanted_by : float
+    objective_at : float
         Until when an answer is within the latency objective.
-    deadline : float
+    deadline_at : float
         When its caller gives up.
-    tried_before : bool
+    may_be_retry : bool
         Whether its caller may have tried before, and give up sooner.
-    closed : bool
+    caller_closed : bool
         Whether its caller has closed its end.
     """
 
     packets: list[Packet]
-    since: float
-    asked: float
+    queued_at: float
+    requested_at: float
     urgency: int
-    wanted_by: float
-    deadline: float
-    tried_before: bool = False
-    closed: bool = False
+    objective_at: float
+    deadline_at: float
+    may_be_retry: bool = False
+    caller_closed: bool = False
 
-    def get_deadline(self, soonest: float) -> float:
+    def estimate_deadline(self, answered_at: float) -> float:
         """Return when its caller is likely to give up.
 
-        A caller that may have tried before may give up `EARLIER_TRY` sooner; one that
+        A caller that may have tried before may give up `EARLIER_ATTEMPT_SECONDS` sooner; one that
         is still there by then had not tried before.
 
         Parameters
         ----------
-        soonest : float
+        answered_at : float
             When it would be answered if it were started now.
         """
-        earlier = self.deadline - EARLIER_TRY
-        return earlier if self.tried_before and soonest <= earlier else self.deadline
+        earlier = self.deadline_at - EARLIER_ATTEMPT_SECONDS
+        return earlier if self.may_be_retry and answered_at <= earlier else self.deadline_at
 
 
 class Backlog(Struct):
@@ -89,21 +89,21 @@
 
     Attributes
     ----------
-    held : dict of bytes to HeldRequest
+    requests : dict of bytes to QueuedRequest
         By flow.
     late_since : float or None
         Since when there has been a late request at each choice.
-    passed_fresh : int
+    fresh_since_late : int
         Fresh requests passed on since the last late one.
-    openings_lost_at : float or None
+    syn_lost_at : float or None
         The latest known time at which an opening packet was sent that was lost, as
         a copy of it tells: other callers may have lost all of theirs.
     """
 
-    held: dict[bytes, HeldRequest] = field(default_factory=dict)
+    requests: dict[bytes, QueuedRequest] = field(default_factory=dict)
     late_since: float | None = None
-    passed_fresh: int = 0
-    openings_lost_at: float | None = None
+    fresh_since_late: int = 0
+    syn_lost_at: float | None = None
 
 
 class Forecast(Struct, frozen=True, kw_only=True):
@@ -115,7 +115,7 @@
         Requests that the upstream works on at once.
     cold_until : float
         Until when it works slowly after its start.
-    cold_service, service : float
+    cold_service_time, service_time : float
         Mean seconds that a request takes until then and afterwards; 0 where
         nothing is known yet.
     """
@@ -123,8 +123,8 @@
     now: float
     slots: int
     cold_until: float
-    cold_service: float
-    service: float
+    cold_service_time: float
+    service_time: float
 
     def estimate_start(self, position: int) -> float:
         """Return when a request can be started that has so many others before it.
@@ -132,19 +132,23 @@
         Examples
         --------
         >>> forecast = Forecast(
-        ...     now=10.0, slots=2, cold_until=10.4, cold_service=0.2, service=0.1
+        ...     now=10.0,
+        ...     slots=2,
+        ...     cold_until=10.4,
+        ...     cold_service_time=0.2,
+        ...     service_time=0.1,
         ... )
         >>> [round(forecast.estimate_start(n), 2) for n in (0, 4, 6)]
         [10.0, 10.4, 10.5]
         """
-        start = self.now + position * self.cold_service / self.slots
+        start = self.now + position * self.cold_service_time / self.slots
         if start <= self.cold_until:
             return start
         began = max(self.cold_until, self.now)
-        if not self.cold_service:
+        if not self.cold_service_time:
             return began
-        left = position - (began - self.now) * self.slots / self.cold_service
-        return began + left * self.service / self.slots
+        left = position - (began - self.now) * self.slots / self.cold_service_time
+        return began + left * self.service_time / self.slots
 
     def estimate_end(self, start: float, *, margin: float = 1.0) -> float:
         """Return when a request that starts then is answered.
@@ -154,7 +158,7 @@
         margin : float
             By how much longer than the mean it may take.
         """
-        service = self.cold_service if start < self.cold_until else self.service
+        service = self.cold_service_time if start < self.cold_until else self.service_time
         return start + service * margin
 
 
@@ -163,59 +167,59 @@
 
     Attributes
     ----------
-    deadline : float
-        When its caller is likely to give up, see `HeldRequest.get_deadline`.
+    deadline_at : float
+        When its caller is likely to give up, see `QueuedRequest.estimate_deadline`.
     """
 
     negative_urgency: int
-    deadline: float
+    deadline_at: float
     flow: bytes
 
 
-def hold(backlog: Backlog, flow: bytes, request: HeldRequest) -> None:
+def add_request(backlog: Backlog, flow: bytes, request: QueuedRequest) -> None:
     """Add a request."""
-    if not backlog.held:
+    if not backlog.requests:
         backlog.late_since = None
-        backlog.passed_fresh = 0
-    request.tried_before = _may_be_repeated(backlog, request.asked)
-    backlog.held[flow] = request
+        backlog.fresh_since_late = 0
+    request.may_be_retry = _may_be_repeated(backlog, request.requested_at)
+    backlog.requests[flow] = request
 
 
 def _may_be_repeated(backlog: Backlog, asked: float) -> bool:
     """Whether a caller that asked then may have tried before.
 
-    One whose last copy was still lost tries again `EARLIER_TRY` after the first.
+    One whose last copy was still lost tries again `EARLIER_ATTEMPT_SECONDS` after the first.
     """
-    lost_at = backlog.openings_lost_at
+    lost_at = backlog.syn_lost_at
     if lost_at is None:
         return False
-    return asked < lost_at - COPY_DELAYS[-1] + EARLIER_TRY
+    return asked < lost_at - SYN_COPY_DELAYS_SECONDS[-1] + EARLIER_ATTEMPT_SECONDS
 
 
-def count_waiting(backlog: Backlog) -> int:
+def count_open_requests(backlog: Backlog) -> int:
     """Return the held requests whose callers have not closed."""
-    return sum(not request.closed for request in backlog.held.values())
+    return sum(not request.caller_closed for request in backlog.requests.values())
 
 
-def choose_next(backlog: Backlog, forecast: Forecast) -> bytes:
+def choose_next_request(backlog: Backlog, forecast: Forecast) -> bytes:
     """Return the flow whose request gets the slot that is free now."""
     fresh, late = _split_by_lateness(backlog, forecast)
     savable = _list_savable(backlog, late, forecast)
     if fresh and not _must_rescue(backlog, savable, forecast):
-        backlog.passed_fresh += 1
-        return min(fresh, key=lambda flow: _rank_fresh(backlog.held[flow]))
-    backlog.passed_fresh = 0
+        backlog.fresh_since_late += 1
+        return min(fresh, key=lambda flow: _rank_fresh(backlog.requests[flow]))
+    backlog.fresh_since_late = 0
     if savable:
         return savable[0].flow
-    return max(late, key=lambda flow: _rank_lost(backlog.held[flow]))
+    return max(late, key=lambda flow: _rank_lost(backlog.requests[flow]))
 
 
-def _rank_fresh(request: HeldRequest) -> tuple[int, float]:
-    return request.urgency, -request.asked
+def _rank_fresh(request: QueuedRequest) -> tuple[int, float]:
+    return request.urgency, -request.requested_at
 
 
-def _rank_lost(request: HeldRequest) -> tuple[bool, float]:
-    return not request.closed, request.deadline
+def _rank_lost(request: QueuedRequest) -> tuple[bool, float]:
+    return not request.caller_closed, request.deadline_at
 
 
 def _split_by_lateness(
@@ -225,8 +229,8 @@
     answered_at = forecast.estimate_end(forecast.now)
     fresh = []
     late = []
-    for flow, request in backlog.held.items():
-        is_fresh = answered_at <= request.wanted_by and not request.closed
+    for flow, request in backlog.requests.items():
+        is_fresh = answered_at <= request.objective_at and not request.caller_closed
         (fresh if is_fresh else late).append(flow)
     if not late:
         backlog.late_since = None
@@ -247,25 +251,25 @@
     candidates = [
         LateRequest(
             negative_urgency=-request.urgency,
-            deadline=request.get_deadline(soonest),
+            deadline_at=request.estimate_deadline(soonest),
             flow=flow,
         )
-        for flow, request in ((flow, backlog.held[flow]) for flow in late)
-        if not request.closed
+        for flow, request in ((flow, backlog.requests[flow]) for flow in late)
+        if not request.caller_closed
     ]
     candidates.sort(key=_get_deadline)
     kept: list[LateRequest] = []
     for candidate in candidates:
         heapq.heappush(kept, candidate)
         start = forecast.estimate_start(len(kept) - 1)
-        if forecast.estimate_end(start) > candidate.deadline:
+        if forecast.estimate_end(start) > candidate.deadline_at:
             heapq.heappop(kept)
     kept.sort(key=_get_deadline)
     return kept
 
 
 def _get_deadline(request: LateRequest) -> float:
-    return request.deadline
+    return request.deadline_at
 
 
 def _must_rescue(
@@ -276,14 +280,14 @@
         return False
     for position, request in enumerate(savable, start=1):
         start = forecast.estimate_start(position)
-        if forecast.estimate_end(start, margin=SERVICE_MARGIN) > request.deadline:
+        if forecast.estimate_end(start, margin=LATE_SERVICE_TIME_FACTOR) > request.deadline_at:
             return True
     return False
 
 
 def _may_rescue(backlog: Backlog, first: bytes, now: float) -> bool:
     """Whether late requests may delay fresh ones: for one timeout, then rarely."""
-    request = backlog.held[first]
-    timeout = request.deadline - request.asked
+    request = backlog.requests[first]
+    timeout = request.deadline_at - request.requested_at
     lasting = backlog.late_since is not None and now - backlog.late_since > timeout
-    return not lasting or backlog.passed_fresh >= RESCUE_EVERY - 1
+    return not lasting or backlog.fresh_since_late >= SLOTS_PER_LATE_REQUEST - 1
--- a/shedsill/datagram/_balancer.py
+++ b/shedsill/datagram/_balancer.py
@@ -23,7 +23,7 @@
     MessageReceived,
     PacketsDrained,
     StopRequested,
-    TableOffered,
+    TableReceived,
     Tick,
 )
 from shedsill.datagram._forwarding import is_newer
@@ -37,10 +37,10 @@
     PacketReturned,
     Probe,
     Roster,
-    split,
+    split_into_chunks,
 )
-from shedsill.datagram._packet import FIN, RST, Packet, is_opening
-from shedsill.datagram._pauses import measure_pause
+from shedsill.datagram._packet import FIN, RST, Packet, is_syn
+from shedsill.datagram._process_pauses import measure_pause
 
 RESET_MEMORY = 2.0
 """Seconds for which a reset flow is remembered, so that its packets that are
@@ -83,7 +83,7 @@
     if route is None:
         return _refuse_without_route(state, packet)
     flow = state.flows.get(packet.flow)
-    if is_opening(packet):
+    if is_syn(packet):
         if flow is None or flow.restored:
             return _openings.place(state, packet, route, event.now)
         return _openings.repeat_opening(state, flow, packet, route, event.now)
@@ -103,7 +103,7 @@
     if state.table.version == 0 or packet.flags & RST:
         return []
     fields = {"flow": packet.flow, "table": state.table.version}
-    if state.ahead and not is_opening(packet):
+    if state.ahead and not is_syn(packet):
         # The newer table may have the route; the caller sends again in 0.2 s.
         return [Note(event=LogEvent.TABLE_AWAITED, fields=fields)]
     state.flows.pop(packet.flow, None)
@@ -174,7 +174,7 @@
 def _answer_probe(state: BalancerState, source: str) -> list[Effect]:
     reports = [v.report for v in state.nodes.upstreams.values() if not v.lost]
     reports += state.nodes.balancers.values()
-    chunks = split(reports, REPORTS_PER_MESSAGE)
+    chunks = split_into_chunks(reports, REPORTS_PER_MESSAGE)
     return [
         SendMessage(source, Announcement(report=state.report)),
         *(
@@ -235,7 +235,7 @@
     return [note, *_locating.search_again(state, denied.flow, source, ack, now)]
 
 
-def take_table(state: BalancerState, event: TableOffered) -> list[Effect]:
+def take_table(state: BalancerState, event: TableReceived) -> list[Effect]:
     """Put a newer table in force, and tell the other balancers."""
     if not is_newer(event.table, state.table):
         return []
--- a/shedsill/datagram/_checkpointing.py
+++ b/shedsill/datagram/_checkpointing.py
@@ -25,7 +25,7 @@
     CheckpointPart,
     CheckpointTaken,
     OpenFlow,
-    split,
+    split_into_chunks,
 )
 from shedsill.datagram._packet import SEQUENCE_SPACE, measure_advance
 
@@ -111,7 +111,7 @@
 def _send(collector: str, number: int, flows: list[OpenFlow]) -> list[Effect]:
     return [
         SendMessage(collector, CheckpointPart(number=number, flows=part))
-        for part in split(flows, FLOWS_PER_MESSAGE)
+        for part in split_into_chunks(flows, FLOWS_PER_MESSAGE)
     ]
 
 
--- a/shedsill/datagram/_effects.py
+++ b/shedsill/datagram/_effects.py
@@ -78,7 +78,7 @@
     report: NodeReport
 
 
-class ForgetReport(Struct, frozen=True):
+class RemovePeerReport(Struct, frozen=True):
     """Remove another node's report from the store if it is still this one."""
 
     report: NodeReport
@@ -128,7 +128,7 @@
     | SendMessage
     | StoreReport
     | RemoveReport
-    | ForgetReport
+    | RemovePeerReport
     | StoreCheckpoint
     | ReadCheckpoint
     | ReadReports
--- a/shedsill/datagram/_events.py
+++ b/shedsill/datagram/_events.py
@@ -93,7 +93,7 @@
     now: float
 
 
-class UpstreamLeft(Struct, frozen=True, kw_only=True):
+class UpstreamLeaving(Struct, frozen=True, kw_only=True):
     """The upstream said that this run of it is about to end."""
 
     boot: str
@@ -116,7 +116,7 @@
     now: float
 
 
-class TableOffered(Struct, frozen=True, kw_only=True):
+class TableReceived(Struct, frozen=True, kw_only=True):
     """A forwarding table came from the platform's store or a peer."""
 
     table: ForwardingTable
@@ -129,7 +129,7 @@
 
     Attributes
     ----------
-    whole : bool
+    complete : bool
         Whether `reports` are all there are.
     removed : tuple of str
         Hosts whose report was deleted.
@@ -137,7 +137,7 @@
 
     reports: tuple[NodeReport, ...]
     removed: tuple[str, ...] = ()
-    whole: bool = False
+    complete: bool = False
     now: float
 
 
@@ -205,9 +205,9 @@
     | UpstreamPacket
     | MessageReceived
     | HeartbeatReceived
-    | UpstreamLeft
+    | UpstreamLeaving
     | UpstreamChecked
-    | TableOffered
+    | TableReceived
     | ReportsListed
     | EarlierReportRead
     | CheckpointRead
--- a/shedsill/datagram/_locating.py
+++ b/shedsill/datagram/_locating.py
@@ -20,7 +20,7 @@
     reset_flows,
 )
 from shedsill.datagram._effects import Effect, ResetFlow, SendMessage
-from shedsill.datagram._messages import Locate, Located, NodeReport, split
+from shedsill.datagram._messages import Locate, Located, NodeReport, split_into_chunks
 from shedsill.datagram._packet import RST, Packet
 from shedsill.datagram._searches import Phase, Search
 from shedsill.datagram._selection import prefer_hosts
@@ -326,7 +326,7 @@
     return [
         SendMessage(host, Locate(flows=part))
         for host, flows in asked.items()
-        for part in split(flows, FLOWS_PER_QUESTION)
+        for part in split_into_chunks(flows, FLOWS_PER_QUESTION)
     ]
 
 
--- a/shedsill/datagram/_messages.py
+++ b/shedsill/datagram/_messages.py
@@ -273,14 +273,14 @@
 _ENCODER = msgspec.msgpack.Encoder()
 
 
-def split(items: list[T], size: int) -> list[list[T]]:
+def split_into_chunks(items: list[T], size: int) -> list[list[T]]:
     """Return a list in parts of at most `size`; one empty part where there is nothing.
 
     Examples
     --------
-    >>> split([1, 2, 3], 2)
+    >>> split_into_chunks([1, 2, 3], 2)
     [[1, 2], [3]]
-    >>> split([], 2)
+    >>> split_into_chunks([], 2)
     [[]]
     """
     starts = range(0, max(len(items), 1), size)
@@ -298,7 +298,7 @@
     return _CODES[type(message)] + _ENCODER.encode(message)
 
 
-def decode_message(octets: bytes) -> Message:
+def decode_message(data: bytes) -> Message:
     """Read a message.
 
     Raises
@@ -306,10 +306,10 @@
     DecodeError
         If the octets are not a message of a known class.
     """
-    if not octets or octets[0] >= len(_DECODERS):
-        raise DecodeError(f"no message class {octets[:1]!r}")
+    if not data or data[0] >= len(_DECODERS):
+        raise DecodeError(f"no message class {data[:1]!r}")
     try:
-        return _DECODERS[octets[0]].decode(octets[1:])
+        return _DECODERS[data[0]].decode(data[1:])
     except msgspec.MsgspecError as error:
         raise DecodeError(f"not a message: {error}") from error
 
--- a/shedsill/datagram/_openings.py
+++ b/shedsill/datagram/_openings.py
@@ -13,7 +13,7 @@
 from shedsill.datagram._effects import Effect, ObserveLatency, ResetFlow
 from shedsill.datagram._forwarding import Route, choose_service
 from shedsill.datagram._messages import FlowTaken, ReturnReason
-from shedsill.datagram._packet import Packet, acknowledges
+from shedsill.datagram._packet import Packet, is_ack_in_window
 from shedsill.datagram._selection import REFUSAL_PAUSE, choose_upstream
 
 ANSWER_TIMEOUT = 0.08
@@ -141,7 +141,7 @@
     for host, initial_seq in flow.offered.items():
         if initial_seq is None:
             continue
-        if acknowledges(packet, initial_seq):
+        if is_ack_in_window(packet, initial_seq):
             _hold_at(state, flow, host)
             return [forward(state, host, flow.service, packet)]
     if len(flow.offered) == 1:
--- a/shedsill/datagram/_packet.py
+++ b/shedsill/datagram/_packet.py
@@ -13,12 +13,12 @@
 
 SEQUENCE_SPACE = 1 << 32
 
-RECEIVE_WINDOW = 76_800
+RECEIVE_WINDOW_BYTES = 76_800
 """Octets by which an acknowledgement may be ahead of a flow's first number for it
 to be one of the caller's first packets; the platform's bound for resets."""
 
 
-COPY_DELAYS = (0.0, 0.2, 0.6)
+SYN_COPY_DELAYS_SECONDS = (0.0, 0.2, 0.6)
 """Seconds after a caller's first opening packet at which it sends each copy, by
 the number of copies sent before; the platform's documented figures."""
 
@@ -72,21 +72,21 @@
     balancer: str = ""
 
 
-def is_opening(packet: Packet) -> bool:
+def is_syn(packet: Packet) -> bool:
     """Whether a packet asks for a new flow (a SYN without an ACK)."""
     return packet.flags & (SYN | ACK) == SYN
 
 
-def get_copy_delay(packet: Packet) -> float:
+def get_syn_copy_delay(packet: Packet) -> float:
     """Return how long before an opening packet its caller sent the first copy.
 
     Examples
     --------
     >>> packet = Packet(b"", b"", SYN, 2, seq=9, ack=2, length=0, data=b"")
-    >>> get_copy_delay(packet)
+    >>> get_syn_copy_delay(packet)
     0.6
     """
-    return COPY_DELAYS[min(packet.copy, len(COPY_DELAYS) - 1)]
+    return SYN_COPY_DELAYS_SECONDS[min(packet.copy, len(SYN_COPY_DELAYS_SECONDS) - 1)]
 
 
 def measure_advance(later: int, earlier: int) -> int:
@@ -100,13 +100,13 @@
     return (later - earlier) % SEQUENCE_SPACE
 
 
-def acknowledges(packet: Packet, initial_seq: int) -> bool:
+def is_ack_in_window(packet: Packet, initial_seq: int) -> bool:
     """Whether a caller's packet belongs to a flow that began with a number.
 
     Examples
     --------
     >>> packet = Packet(b"", b"", ACK, 0, seq=9, ack=1001, length=0, data=b"")
-    >>> acknowledges(packet, 1000), acknowledges(packet, 5000)
+    >>> is_ack_in_window(packet, 1000), is_ack_in_window(packet, 5000)
     (True, False)
     """
-    return measure_advance(packet.ack, initial_seq) <= RECEIVE_WINDOW
+    return measure_advance(packet.ack, initial_seq) <= RECEIVE_WINDOW_BYTES
--- a/shedsill/datagram/_pauses.py
+++ b/shedsill/datagram/_process_pauses.py
@@ -8,17 +8,17 @@
 
 __all__ = ["measure_pause"]
 
-PAUSE = 0.3
+MIN_PAUSE_SECONDS = 0.3
 """A gap between ticks (s) that shows that the process did not run: seven ticks, and
 more than the 0.1 s for which a VM out of quota stands still."""
 
 
-def measure_pause(last_tick: float | None, now: float) -> float:
+def measure_pause(last_tick_at: float | None, now: float) -> float:
     """Return the seconds for which this node did not run; 0 if it did.
 
     Parameters
     ----------
-    last_tick : float or None
+    last_tick_at : float or None
         None where this is the first tick.
 
     Examples
@@ -28,7 +28,7 @@
     >>> measure_pause(1.0, 4.0)
     3.0
     """
-    if last_tick is None:
+    if last_tick_at is None:
         return 0.0
-    gap = now - last_tick
-    return gap if gap > PAUSE else 0.0
+    gap = now - last_tick_at
+    return gap if gap > MIN_PAUSE_SECONDS else 0.0
--- a/shedsill/datagram/_reducer.py
+++ b/shedsill/datagram/_reducer.py
@@ -31,10 +31,10 @@
     ReportsListed,
     SettingsChanged,
     StopRequested,
-    TableOffered,
+    TableReceived,
     Tick,
     UpstreamChecked,
-    UpstreamLeft,
+    UpstreamLeaving,
     UpstreamPacket,
 )
 from shedsill.datagram._packet import Packet
@@ -101,7 +101,7 @@
             return _roster.take_listed(state, event)
         case CheckpointRead():
             return _checkpointing.take_checkpoint(state, event)
-        case TableOffered():
+        case TableReceived():
             return _balancer.take_table(state, event)
         case StopRequested():
             return _balancer.take_stop(state, event)
@@ -112,24 +112,24 @@
 def _reduce_agent(state: AgentState, event: Event) -> list[Effect]:
     match event:
         case ForwardedPacket():
-            return _agent_packets.take_forwarded(state, event)
+            return _agent_packets.handle_forwarded_packet(state, event)
         case UpstreamPacket():
-            return _agent_packets.take_upstream_packet(state, event)
+            return _agent_packets.handle_upstream_packet(state, event)
         case PacketsDrained():
             return []
         case MessageReceived():
-            return _agent.take_message(state, event)
+            return _agent.handle_message(state, event)
         case Tick():
-            return _agent.take_tick(state, event)
+            return _agent.handle_tick(state, event)
         case HeartbeatReceived():
-            return _upstream.take_heartbeat(state, event)
-        case UpstreamLeft():
-            return _upstream.take_leave(state, event)
+            return _upstream.handle_heartbeat(state, event)
+        case UpstreamLeaving():
+            return _upstream.handle_leave(state, event)
         case EarlierReportRead():
-            return _upstream.take_earlier_report(state, event)
+            return _upstream.handle_earlier_report(state, event)
         case UpstreamChecked():
-            return _upstream.take_checked(state, event)
+            return _upstream.handle_check_result(state, event)
         case StopRequested():
-            return _agent.take_stop(state, event)
+            return _agent.handle_stop(state, event)
         case _:
             raise InvariantError(f"an agent was given {type(event).__name__}")
--- a/shedsill/datagram/_roster.py
+++ b/shedsill/datagram/_roster.py
@@ -10,7 +10,7 @@
 from shedsill.datagram._balancer_state import BalancerState, reset_flows
 from shedsill.datagram._effects import (
     Effect,
-    ForgetReport,
+    RemovePeerReport,
     PullTable,
     ReadCheckpoint,
     SendMessage,
@@ -171,7 +171,7 @@
     _reading.note_read(state.reading, event.now, unknown=bool(unknown), first=is_first)
     for host in event.removed:
         effects += _take_removed(state, host, event.now)
-    if event.whole and not state.nodes.listed:
+    if event.complete and not state.nodes.listed:
         state.nodes.listed = True
         state.next_introduction = event.now
         effects += introduce(state, event.now)
@@ -265,7 +265,7 @@
         if not view.lost or now - view.lost_at < FORGET_LOST_AFTER:
             continue
         if first:
-            effects.append(ForgetReport(view.report))
+            effects.append(RemovePeerReport(view.report))
         effects += _forget_upstream(state, host)
     return effects
 
--- a/shedsill/datagram/_runtime/agent.py
+++ b/shedsill/datagram/_runtime/agent.py
@@ -8,7 +8,7 @@
 from shedsill._shared_effects import Note
 from shedsill.coordination.platform import Platform
 from shedsill.datagram import _agent
-from shedsill.datagram._agent_state import AgentState, takes_flows
+from shedsill.datagram._agent_state import AgentState, can_accept_flows
 from shedsill.datagram._effects import (
     CheckUpstream,
     Effect,
@@ -20,7 +20,7 @@
     Heartbeat,
     HeartbeatReceived,
     UpstreamChecked,
-    UpstreamLeft,
+    UpstreamLeaving,
     UpstreamPacket,
 )
 from shedsill.datagram._messages import NodeReport
@@ -73,7 +73,7 @@
 
     def begin(self) -> None:
         """Make the agent known and take heartbeats."""
-        _agent.start(self.state, self.now)
+        _agent.start_agent(self.state, self.now)
         self.run_beside(self.reports.read_earlier(self.settings.host))
         if self.settings.heartbeats is not None:
             self.run_beside(
@@ -83,7 +83,7 @@
     @property
     def ready(self) -> bool:
         """Whether the upstream takes new flows."""
-        return takes_flows(self.state)
+        return can_accept_flows(self.state)
 
     def list_gauges(self) -> list[str]:
         """Return the lines of figures that go up and down."""
@@ -139,7 +139,7 @@
                 if call.boot != self.state.report.boot:
                     # Not taken in, so it must not confirm a drain either.
                     return Response(status=HTTP_CONFLICT, body=b"{}")
-            case UpstreamLeft():
+            case UpstreamLeaving():
                 self.dispatch(call)
             case None:
                 return Response(status=HTTP_NOT_FOUND, body=b"{}")
@@ -180,7 +180,7 @@
         seeds=settings.seeds,
         flow_lifetime=settings.flow_lifetime,
         stop_limit=settings.stop_limit,
-        complete=settings.first_start,
+        knows_all_flows=settings.first_start,
     )
     return AgentNode(
         state,
--- a/shedsill/datagram/_runtime/balancer.py
+++ b/shedsill/datagram/_runtime/balancer.py
@@ -23,7 +23,7 @@
 from shedsill.datagram._balancer_state import BalancerState
 from shedsill.datagram._effects import (
     Effect,
-    ForgetReport,
+    RemovePeerReport,
     ForwardPacket,
     PullTable,
     ReadCheckpoint,
@@ -34,7 +34,7 @@
     CallerPacket,
     CheckpointRead,
     ReportsListed,
-    TableOffered,
+    TableReceived,
 )
 from shedsill.datagram._messages import NodeReport, OpenFlow, load_report
 from shedsill.datagram._runtime.checkpoints import CheckpointStore
@@ -145,7 +145,7 @@
                 if not self._pulling:
                     self._pulling = True
                     self.run_beside(self._pull_table(host))
-            case ForgetReport(report=report):
+            case RemovePeerReport(report=report):
                 self.run_beside(self._forget_report(report))
             case StoreCheckpoint(parts=parts):
                 self.run_beside(self._checkpoints.write(parts))
@@ -211,7 +211,7 @@
             return
         if table.version > self.state.table.version:
             self._served.put(value)
-        self.dispatch(TableOffered(table=table, source=source, now=self.now))
+        self.dispatch(TableReceived(table=table, source=source, now=self.now))
 
     def _answer_peer(self, method: str, path: str, body: bytes) -> Response:
         if path != TABLE_PATH or self._served.is_empty:
@@ -302,7 +302,7 @@
         reports = [r for r in map(self._read_report, objects) if r is not None]
         self.dispatch(
             ReportsListed(
-                reports=tuple(reports), removed=deleted, whole=whole, now=self.now
+                reports=tuple(reports), removed=deleted, complete=whole, now=self.now
             )
         )
 
--- a/shedsill/datagram/_runtime/node.py
+++ b/shedsill/datagram/_runtime/node.py
@@ -314,7 +314,7 @@
 
     def send_to_caller(self, flow: bytes, data: bytes) -> None:
         """Send a packet to the caller of a flow."""
-        target = (self.codec.get_caller(flow), self.settings.caller_port)
+        target = (self.codec.get_caller_host(flow), self.settings.caller_port)
         self.sockets.send(self._messages, data, target)
 
     def write_note(self, note: Note) -> None:
--- a/shedsill/datagram/_slots.py
+++ b/shedsill/datagram/_slots.py
@@ -21,80 +21,80 @@
 from shedsill.datagram._agent_state import (
     AgentFlow,
     AgentState,
-    announce,
-    change_busy,
-    note_owed,
+    announce_report,
+    update_busy,
+    record_sent_packet,
 )
-from shedsill.datagram._backlog import Forecast, HeldRequest
+from shedsill.datagram._backlog import Forecast, QueuedRequest
 from shedsill.datagram._effects import Effect, ObserveLatency, SendToUpstream
-from shedsill.datagram._health import estimate_service, note_answer
+from shedsill.datagram._health import estimate_service_time, record_answer
 from shedsill.datagram._packet import (
     SEQUENCE_SPACE,
     Packet,
-    get_copy_delay,
+    get_syn_copy_delay,
     measure_advance,
 )
 from shedsill.datagram._selection import DEFAULT_SLOTS
 
-CALLER_SILENCE = 3.5
+CALLER_SILENCE_SECONDS = 3.5
 """Seconds without a packet of its caller after which a held request is dropped:
 callers send again after 1.6 s at most, so two sendings are missing."""
 
-WAITING_LIMIT = 4.0
+ANSWER_TIMEOUT_SECONDS = 4.0
 """Seconds after which a request that the upstream was given no longer counts: the
 upstream has dropped it."""
 
 
-def take_content(
+def handle_request_packet(
     state: AgentState, flow: AgentFlow, packet: Packet, now: float
 ) -> list[Effect]:
     """Give the upstream a packet with content, or hold it back."""
-    held = state.backlog.held.get(packet.flow)
+    held = state.backlog.requests.get(packet.flow)
     if held is not None:
         if all(packet.seq != known.seq for known in held.packets):
             held.packets.append(packet)
         return []
-    if _is_new(flow, packet) and not flow.waiting:
-        flow.waiting = True
-        flow.waiting_since = now
-        change_busy(state, 1, now)
-        asked, flow.delay = now - flow.delay, 0.0
+    if _is_new(flow, packet) and not flow.pending:
+        flow.pending = True
+        flow.request_received_at = now
+        update_busy(state, 1, now)
+        asked, flow.syn_copy_delay = now - flow.syn_copy_delay, 0.0
         timeout = packet.timeout or math.inf
         if not packet.bulk and _is_full(state):
-            request = HeldRequest(
+            request = QueuedRequest(
                 packets=[packet],
-                since=now,
-                asked=asked,
+                queued_at=now,
+                requested_at=asked,
                 urgency=packet.urgency,
-                wanted_by=asked + (packet.objective or timeout),
-                deadline=asked + timeout,
+                objective_at=asked + (packet.objective or timeout),
+                deadline_at=asked + timeout,
             )
-            _backlog.hold(state.backlog, packet.flow, request)
+            _backlog.add_request(state.backlog, packet.flow, request)
             return [_note_held(state, packet)]
         _begin_work(state, flow, now)
     _note_passed(flow, packet)
-    note_owed(state, now)
+    record_sent_packet(state, now)
     return [SendToUpstream(packet, flow.balancer)]
 
 
 def _begin_work(state: AgentState, flow: AgentFlow, now: float) -> None:
-    flow.working = True
-    flow.working_since = now
-    state.working += 1
+    flow.running = True
+    flow.request_sent_at = now
+    state.running += 1
 
 
 def _is_new(flow: AgentFlow, packet: Packet) -> bool:
     """Whether a packet has content that was not passed on before."""
-    if flow.caller_end is None:
+    if flow.caller_next_seq is None:
         return True
-    advance = measure_advance(packet.seq + packet.length, flow.caller_end)
+    advance = measure_advance(packet.seq + packet.length, flow.caller_next_seq)
     return 0 < advance <= SEQUENCE_SPACE // 2
 
 
 def _note_passed(flow: AgentFlow, packet: Packet) -> None:
-    flow.last = packet
+    flow.last_request_packet = packet
     if _is_new(flow, packet):
-        flow.caller_end = (packet.seq + packet.length) % SEQUENCE_SPACE
+        flow.caller_next_seq = (packet.seq + packet.length) % SEQUENCE_SPACE
 
 
 def _count_slots(state: AgentState) -> int:
@@ -102,20 +102,20 @@
 
 
 def _is_full(state: AgentState) -> bool:
-    return state.working >= _count_slots(state)
+    return state.running >= _count_slots(state)
 
 
 def _note_held(state: AgentState, packet: Packet) -> Note:
     fields = {
         "flow": packet.flow,
-        "working": state.working,
-        "held": len(state.backlog.held),
+        "working": state.running,
+        "held": len(state.backlog.requests),
         "urgency": packet.urgency,
     }
     return Note(event=LogEvent.REQUEST_HELD, fields=fields)
 
 
-def take_acknowledgement(
+def handle_acknowledgement(
     state: AgentState, flow: AgentFlow, packet: Packet, now: float
 ) -> list[Effect]:
     """Drop a held request that the upstream has received in another way.
@@ -123,39 +123,39 @@
     After a restart of the agent, a first copy of it may have been given to the
     upstream before the flow was known.
     """
-    held = state.backlog.held.get(packet.flow)
+    held = state.backlog.requests.get(packet.flow)
     if held is None:
         return []
     last = held.packets[-1]
     end = (last.seq + last.length) % SEQUENCE_SPACE
     if measure_advance(packet.ack, end) > SEQUENCE_SPACE // 2:
         return []
-    flow.caller_end = end
+    flow.caller_next_seq = end
     return drop_request(state, packet.flow, now)
 
 
-def note_closed(state: AgentState, key: bytes) -> None:
+def record_caller_close(state: AgentState, key: bytes) -> None:
     """Note that a caller has closed its end while its request is held."""
-    held = state.backlog.held.get(key)
+    held = state.backlog.requests.get(key)
     if held is not None:
-        held.closed = True
+        held.caller_closed = True
 
 
 def finish_request(
     state: AgentState, key: bytes, flow: AgentFlow, now: float, *, answered: bool
 ) -> list[Effect]:
     """Note that a request has its answer or has ended; pass on the next one."""
-    if not flow.waiting or (answered and not flow.working):
+    if not flow.pending or (answered and not flow.running):
         return []
-    flow.waiting = False
-    flow.last = None
-    change_busy(state, -1, now)
+    flow.pending = False
+    flow.last_request_packet = None
+    update_busy(state, -1, now)
     effects: list[Effect] = []
     if answered:
         effects += _note_answered(state, key, flow, now)
-    if flow.working:
-        flow.working = False
-        state.working -= 1
+    if flow.running:
+        flow.running = False
+        state.running -= 1
         effects += _pass_next(state, now)
     return effects
 
@@ -163,16 +163,16 @@
 def _note_answered(
     state: AgentState, key: bytes, flow: AgentFlow, now: float
 ) -> list[Effect]:
-    seconds = now - flow.waiting_since
+    seconds = now - flow.request_received_at
     effects: list[Effect] = [ObserveLatency(seconds)]
-    cold = flow.working_since < state.cold_until
-    if note_answer(state.health, now - flow.working_since, now, cold=cold):
+    cold = flow.request_sent_at < state.cold_until
+    if record_answer(state.health, now - flow.request_sent_at, now, cold=cold):
         effects += _note_failing(state, now)
     fields = {
         "flow": key,
         "took_ms": round(seconds * 1000),
-        "working": state.working,
-        "held": len(state.backlog.held),
+        "working": state.running,
+        "held": len(state.backlog.requests),
     }
     return [*effects, Note(event=LogEvent.REQUEST_ANSWERED, fields=fields)]
 
@@ -180,21 +180,21 @@
 def _note_failing(state: AgentState, now: float) -> list[Effect]:
     fields = {
         "usual_ms": round(state.health.warm.seconds * 1000),
-        "pause": state.health.pause,
+        "pause": state.health.avoidance_seconds,
     }
     note = Note(event=LogEvent.UPSTREAM_FAILING, fields=fields)
-    return [note, *announce(state, now)]
+    return [note, *announce_report(state, now)]
 
 
 def _pass_next(state: AgentState, now: float) -> list[Effect]:
     effects: list[Effect] = []
-    while state.backlog.held and not _is_full(state):
-        flow = _backlog.choose_next(state.backlog, _forecast(state, now))
+    while state.backlog.requests and not _is_full(state):
+        flow = _backlog.choose_next_request(state.backlog, _forecast(state, now))
         effects += _pass_on(state, flow, now)
     return effects
 
 
-def can_answer(state: AgentState, opening: Packet, now: float) -> bool:
+def can_answer_in_time(state: AgentState, opening: Packet, now: float) -> bool:
     """Whether a request on a new flow can be answered before its caller gives up.
 
     All requests that wait are counted before it: if it went first, another one of
@@ -204,8 +204,8 @@
     if not opening.timeout:
         return True
     forecast = _forecast(state, now)
-    start = forecast.estimate_start(_backlog.count_waiting(state.backlog))
-    deadline = now - get_copy_delay(opening) + opening.timeout
+    start = forecast.estimate_start(_backlog.count_open_requests(state.backlog))
+    deadline = now - get_syn_copy_delay(opening) + opening.timeout
     return forecast.estimate_end(start) <= deadline
 
 
@@ -214,27 +214,27 @@
         now=now,
         slots=_count_slots(state),
         cold_until=state.cold_until,
-        cold_service=estimate_service(state.health, cold=True),
-        service=estimate_service(state.health, cold=False),
+        cold_service_time=estimate_service_time(state.health, cold=True),
+        service_time=estimate_service_time(state.health, cold=False),
     )
 
 
 def _pass_on(state: AgentState, key: bytes, now: float) -> list[Effect]:
-    held = state.backlog.held.pop(key)
+    held = state.backlog.requests.pop(key)
     flow = state.flows.get(key)
     if flow is None:
         return []
     _begin_work(state, flow, now)
     for packet in held.packets:
         _note_passed(flow, packet)
-    note_owed(state, now)
+    record_sent_packet(state, now)
     fields = {
         "flow": key,
-        "held_ms": round((now - held.since) * 1000),
-        "late": now > held.wanted_by,
-        "tried_before": held.tried_before,
-        "closed": held.closed,
-        "left": len(state.backlog.held),
+        "held_ms": round((now - held.queued_at) * 1000),
+        "late": now > held.objective_at,
+        "tried_before": held.may_be_retry,
+        "closed": held.caller_closed,
+        "left": len(state.backlog.requests),
     }
     return [
         *(SendToUpstream(packet, flow.balancer) for packet in held.packets),
@@ -244,33 +244,33 @@
 
 def drop_request(state: AgentState, key: bytes, now: float) -> list[Effect]:
     """Forget the request of a flow that has ended."""
-    state.backlog.held.pop(key, None)
+    state.backlog.requests.pop(key, None)
     flow = state.flows.get(key)
     if flow is None:
         return []
     return finish_request(state, key, flow, now, answered=False)
 
 
-def take_tick(state: AgentState, now: float) -> list[Effect]:
+def expire_requests(state: AgentState, now: float) -> list[Effect]:
     """Drop requests that nobody waits for; forget those that are never answered."""
     effects: list[Effect] = []
-    for key, held in list(state.backlog.held.items()):
+    for key, held in list(state.backlog.requests.items()):
         flow = state.flows.get(key)
-        if flow is None or now - flow.seen > CALLER_SILENCE:
-            fields = {"flow": key, "held_ms": round((now - held.since) * 1000)}
+        if flow is None or now - flow.last_packet_at > CALLER_SILENCE_SECONDS:
+            fields = {"flow": key, "held_ms": round((now - held.queued_at) * 1000)}
             effects.append(Note(event=LogEvent.REQUEST_ABANDONED, fields=fields))
             effects += drop_request(state, key, now)
     for key, flow in state.flows.items():
-        if flow.working and now - flow.working_since > WAITING_LIMIT:
+        if flow.running and now - flow.request_sent_at > ANSWER_TIMEOUT_SECONDS:
             effects += finish_request(state, key, flow, now, answered=False)
     return effects
 
 
-def keep_requests(state: AgentState, now: float) -> list[Effect]:
+def drop_orphaned_requests(state: AgentState, now: float) -> list[Effect]:
     """Forget the requests of flows that are no longer known; fill their slots."""
-    held = state.backlog.held
-    state.backlog.held = {key: held[key] for key in held if key in state.flows}
-    state.working = sum(flow.working for flow in state.flows.values())
-    waiting = sum(flow.waiting for flow in state.flows.values())
-    change_busy(state, waiting - state.busy, now)
+    held = state.backlog.requests
+    state.backlog.requests = {key: held[key] for key in held if key in state.flows}
+    state.running = sum(flow.running for flow in state.flows.values())
+    waiting = sum(flow.pending for flow in state.flows.values())
+    update_busy(state, waiting - state.busy, now)
     return _pass_next(state, now)
--- a/shedsill/datagram/_upstream.py
+++ b/shedsill/datagram/_upstream.py
@@ -13,8 +13,8 @@
     AgentFlow,
     AgentState,
     Phase,
-    publish,
-    set_state,
+    publish_report,
+    update_upstream_state,
 )
 from shedsill.datagram._effects import (
     Effect,
@@ -27,32 +27,32 @@
     Heartbeat,
     HeartbeatReceived,
     UpstreamChecked,
-    UpstreamLeft,
+    UpstreamLeaving,
 )
-from shedsill.datagram._health import note_crash
+from shedsill.datagram._health import record_crash
 from shedsill.datagram._messages import UpstreamState
 
 FIRST_SERIAL = 1
 """Number of the first heartbeat of an upstream's run."""
 
-BOOT_SILENCE = 3.0
+BOOT_SILENCE_SECONDS = 3.0
 """Seconds without a heartbeat of the run that is known before a later heartbeat of
 another run is believed: two heartbeats of 1.2 s and half of one have stayed out."""
 
-UNANSWERED_LIMIT = 0.4
+UNANSWERED_LIMIT_SECONDS = 0.4
 """Seconds without any packet of the upstream, while it owes one, after which
 its port is tried.  It acknowledges within milliseconds, and callers send again
 after 0.2 s, so two sendings have gone unanswered by then."""
 
-CHECK_INTERVAL = 0.4
+CHECK_INTERVAL_SECONDS = 0.4
 """Seconds between tries of the port of an upstream that does not answer."""
 
 
-def take_heartbeat(state: AgentState, event: HeartbeatReceived) -> list[Effect]:
+def handle_heartbeat(state: AgentState, event: HeartbeatReceived) -> list[Effect]:
     """Take in what the upstream says of itself."""
     heartbeat, now = event.heartbeat, event.now
     report = state.report
-    if heartbeat.boot in state.retired or _is_outdated(state, heartbeat, now):
+    if heartbeat.boot in state.ended_boots or _is_outdated(state, heartbeat, now):
         return [_note_outdated(state, heartbeat)]
     effects: list[Effect] = []
     if heartbeat.boot != report.boot:
@@ -60,7 +60,7 @@
     elif heartbeat.serial <= state.heartbeat_serial:
         return []
     state.heartbeat_serial = heartbeat.serial
-    state.heartbeat_at = state.heartbeat_missing_since = now
+    state.last_heartbeat_at = state.heartbeat_silence_started_at = now
     state.cold_until = now + heartbeat.cold
     changed = (heartbeat.boot, heartbeat.state, heartbeat.slots) != (
         report.boot,
@@ -74,9 +74,9 @@
         state=heartbeat.state,
         load=replace(state.report.load, slots=heartbeat.slots),
     )
-    effects += publish(state, now)
+    effects += publish_report(state, now)
     fields = {"boot": heartbeat.boot, "serial": heartbeat.serial}
-    fields |= {"cold": heartbeat.cold, "complete": state.complete}
+    fields |= {"cold": heartbeat.cold, "complete": state.knows_all_flows}
     return [*effects, Note(event=LogEvent.HEARTBEAT_TAKEN, fields=fields)]
 
 
@@ -90,7 +90,7 @@
     if report.boot in ("", heartbeat.boot) or heartbeat.serial == FIRST_SERIAL:
         return False
     alive = report.state in (UpstreamState.READY, UpstreamState.DRAINING)
-    return alive and now - state.heartbeat_missing_since < BOOT_SILENCE
+    return alive and now - state.heartbeat_silence_started_at < BOOT_SILENCE_SECONDS
 
 
 def _note_outdated(state: AgentState, heartbeat: Heartbeat) -> Note:
@@ -109,22 +109,22 @@
     that it holds no flow from before the agent's start.
     """
     before = state.report.boot
-    alive_at = state.heartbeat_at
+    alive_at = state.last_heartbeat_at
     state.report = replace(state.report, boot=heartbeat.boot)
     state.heartbeat_serial = 0
-    state.left = False
-    state.began_here = heartbeat.serial == FIRST_SERIAL
-    if state.began_here or state.earlier_boot not in ("", heartbeat.boot):
-        state.complete = True
+    state.upstream_leaving = False
+    state.first_heartbeat_received = heartbeat.serial == FIRST_SERIAL
+    if state.first_heartbeat_received or state.earlier_boot not in ("", heartbeat.boot):
+        state.knows_all_flows = True
     _retire_earlier(state)
     if not before:
         return []
-    state.retired.add(before)
-    state.complete = True
+    state.ended_boots.add(before)
+    state.knows_all_flows = True
     if state.report.state == UpstreamState.READY:
-        note_crash(state.health, now)
+        record_crash(state.health, now)
     tries = _try_requests(state, alive_at)
-    effects = free_flows(state, "upstream restarted", now, taken_until=alive_at)
+    effects = reset_flows(state, "upstream restarted", now, taken_until=alive_at)
     return effects + tries
 
 
@@ -137,19 +137,19 @@
     not, so that its caller is freed in milliseconds instead of at its deadline.
     """
     return [
-        SendToUpstream(flow.last, flow.balancer)
+        SendToUpstream(flow.last_request_packet, flow.balancer)
         for flow in state.flows.values()
-        if flow.working and flow.last is not None and _was_taken(flow, alive_at)
+        if flow.running and flow.last_request_packet is not None and _was_taken(flow, alive_at)
     ]
 
 
 def _retire_earlier(state: AgentState) -> None:
     """Never believe the run before this one again, if this one surely came later."""
-    if state.began_here and state.earlier_boot not in ("", state.report.boot):
-        state.retired.add(state.earlier_boot)
+    if state.first_heartbeat_received and state.earlier_boot not in ("", state.report.boot):
+        state.ended_boots.add(state.earlier_boot)
 
 
-def take_earlier_report(state: AgentState, event: EarlierReportRead) -> list[Effect]:
+def handle_earlier_report(state: AgentState, event: EarlierReportRead) -> list[Effect]:
     """Learn from the last run of this agent what the upstream was like.
 
     If it has restarted since, it holds no flow from before this agent's start,
@@ -165,7 +165,7 @@
     if event.at_start:
         state.earlier_boot = earlier.boot
         if earlier.boot and report.boot and earlier.boot != report.boot:
-            state.complete = True
+            state.knows_all_flows = True
             _retire_earlier(state)
     if not report.load.slots and earlier.service == report.service:
         load = replace(report.load, slots=earlier.load.slots)
@@ -173,7 +173,7 @@
     fields = {
         "boot": state.report.boot,
         "earlier": earlier.boot,
-        "complete": state.complete,
+        "complete": state.knows_all_flows,
     }
     return [Note(event=LogEvent.EARLIER_REPORT, fields=fields)]
 
@@ -182,7 +182,7 @@
     return flow.taken_at is not None and flow.taken_at > since
 
 
-def free_flows(
+def reset_flows(
     state: AgentState, reason: str, now: float, *, taken_until: float = math.inf
 ) -> list[Effect]:
     """Reset the open flows of a run of the upstream that has ended.
@@ -201,50 +201,50 @@
             effects.append(ResetFlow(key, flow.caller_ack))
         del state.flows[key]
     fields = {"flows": len(effects), "reason": reason, "boot": state.report.boot}
-    state.tried.clear()
+    state.trial_flows.clear()
     note = Note(event=LogEvent.FLOWS_FREED, fields=fields)
-    return [*effects, note, *_slots.keep_requests(state, now)]
+    return [*effects, note, *_slots.drop_orphaned_requests(state, now)]
 
 
-def take_leave(state: AgentState, event: UpstreamLeft) -> list[Effect]:
+def handle_leave(state: AgentState, event: UpstreamLeaving) -> list[Effect]:
     """Note that the upstream's run is about to end, as it said."""
     if event.boot != state.report.boot:
         return []
-    state.left = True
-    state.checked_at = event.now
+    state.upstream_leaving = True
+    state.last_check_at = event.now
     return [
-        *set_state(state, UpstreamState.GONE, event.now),
+        *update_upstream_state(state, UpstreamState.GONE, event.now),
         RemoveReport(state.report),
     ]
 
 
-def wants_check(state: AgentState, now: float) -> bool:
-    if state.checking or now - state.checked_at < CHECK_INTERVAL:
+def needs_check(state: AgentState, now: float) -> bool:
+    if state.check_pending or now - state.last_check_at < CHECK_INTERVAL_SECONDS:
         return False
-    if state.report.state == UpstreamState.UNRESPONSIVE or state.left:
-        return bool(state.flows) or not state.left
-    return state.owed_since is not None and now - state.owed_since > UNANSWERED_LIMIT
+    if state.report.state == UpstreamState.UNRESPONSIVE or state.upstream_leaving:
+        return bool(state.flows) or not state.upstream_leaving
+    return state.unanswered_since is not None and now - state.unanswered_since > UNANSWERED_LIMIT_SECONDS
 
 
-def take_checked(state: AgentState, event: UpstreamChecked) -> list[Effect]:
+def handle_check_result(state: AgentState, event: UpstreamChecked) -> list[Effect]:
     """Act on whether the upstream's port takes connections."""
-    state.checking = False
+    state.check_pending = False
     now = event.now
     if event.open:
-        state.owed_since = None
+        state.unanswered_since = None
         if state.report.state == UpstreamState.UNRESPONSIVE:
-            return set_state(state, UpstreamState.READY, now)
+            return update_upstream_state(state, UpstreamState.READY, now)
         return []
-    if state.owed_since is None and not state.left:
+    if state.unanswered_since is None and not state.upstream_leaving:
         return []
     effects: list[Effect] = []
     if state.report.state in (UpstreamState.READY, UpstreamState.UNKNOWN):
         fields = {"refused": event.refused, "flows": len(state.flows)}
         effects.append(Note(event=LogEvent.UPSTREAM_SILENT, fields=fields))
-        effects += set_state(state, UpstreamState.UNRESPONSIVE, now)
+        effects += update_upstream_state(state, UpstreamState.UNRESPONSIVE, now)
     if event.refused:
-        state.complete = True
-        if not state.left:
-            note_crash(state.health, now)
-        effects += free_flows(state, "upstream refuses connections", now)
+        state.knows_all_flows = True
+        if not state.upstream_leaving:
+            record_crash(state.health, now)
+        effects += reset_flows(state, "upstream refuses connections", now)
     return effects
--- a/shedsill/datagram/adapter.py
+++ b/shedsill/datagram/adapter.py
@@ -12,7 +12,7 @@
 from msgspec import Struct
 
 from shedsill._addresses import Address
-from shedsill.datagram._events import Heartbeat, UpstreamLeft
+from shedsill.datagram._events import Heartbeat, UpstreamLeaving
 from shedsill.datagram._forwarding import ForwardingTable, Route
 from shedsill.datagram._messages import Role
 from shedsill.datagram._packet import Packet
@@ -122,7 +122,7 @@
         """Write a reset of this system's own for a caller."""
         ...
 
-    def get_caller(self, flow: bytes) -> str:
+    def get_caller_host(self, flow: bytes) -> str:
         """Return the host of the flow's caller."""
         ...
 
@@ -150,6 +150,6 @@
 
     def decode_call(
         self, method: str, path: str, body: bytes, now: float
-    ) -> Heartbeat | UpstreamLeft | None:
+    ) -> Heartbeat | UpstreamLeaving | None:
         """Read one call; None if it is not of these, `DecodeError` if broken."""
         ...
--- a/shedsill/platform/heartbeats.py
+++ b/shedsill/platform/heartbeats.py
@@ -5,7 +5,7 @@
 import msgspec
 from msgspec import Struct
 
-from shedsill.datagram._events import Heartbeat, UpstreamLeft
+from shedsill.datagram._events import Heartbeat, UpstreamLeaving
 from shedsill.datagram._messages import UpstreamState
 from shedsill.errors import DecodeError
 
@@ -39,7 +39,7 @@
 
     def decode_call(
         self, method: str, path: str, body: bytes, now: float
-    ) -> Heartbeat | UpstreamLeft | None:
+    ) -> Heartbeat | UpstreamLeaving | None:
         """Read one call; None if it is not about an instance."""
         boot = path.partition("?")[0].removeprefix(INSTANCES)
         if boot == path or not boot:
@@ -48,7 +48,7 @@
             case "PUT":
                 return _read_beat(boot, body)
             case "DELETE":
-                return UpstreamLeft(boot=boot, now=now)
+                return UpstreamLeaving(boot=boot, now=now)
         return None
 
 
--- a/shedsill/platform/packets.py
+++ b/shedsill/platform/packets.py
@@ -113,7 +113,7 @@
         head = bytes([RESET_OCTET]) + NO_PAD + b"\0\0" + ports_and_addresses
         return head + NO_ECHO + WORD.pack(seq) + bytes(8)
 
-    def get_caller(self, flow: bytes) -> str:
+    def get_caller_host(self, flow: bytes) -> str:
         """Return the host of the flow's caller."""
         return socket.inet_ntoa(flow[8:12])
 
--- a/shedsill/testing/agents.py
+++ b/shedsill/testing/agents.py
@@ -31,5 +31,5 @@
         seeds=(),
         flow_lifetime=60.0,
         stop_limit=5.0,
-        complete=True,
+        knows_all_flows=True,
     )
--- a/shedsill/testing/datagrams.py
+++ b/shedsill/testing/datagrams.py
@@ -24,7 +24,7 @@
 from shedsill.datagram._effects import (
     CheckUpstream,
     Effect,
-    ForgetReport,
+    RemovePeerReport,
     ForwardPacket,
     PullTable,
     ReadCheckpoint,
@@ -49,10 +49,10 @@
     PacketsDrained,
     ReportsListed,
     StopRequested,
-    TableOffered,
+    TableReceived,
     Tick,
     UpstreamChecked,
-    UpstreamLeft,
+    UpstreamLeaving,
     UpstreamPacket,
 )
 from shedsill.datagram._forwarding import ForwardingTable, Route, ServiceShare
@@ -187,7 +187,7 @@
         self.nodes[host] = state
         self._carry_out(host, _balancer.start(state, self.now))
         self._dispatch(
-            host, TableOffered(table=self.table, source="store", now=self.now)
+            host, TableReceived(table=self.table, source="store", now=self.now)
         )
         self._schedule(TICK, lambda: self._tick(host, state))
         self.list_reports(host)
@@ -202,12 +202,12 @@
             seeds=self.seeds,
             flow_lifetime=60.0,
             stop_limit=5.0,
-            complete=first,
+            knows_all_flows=first,
         )
         self.nodes[host] = state
         if host not in self.upstreams:
             self.start_upstream(host, service)
-        _agent.start(state, self.now)
+        _agent.start_agent(state, self.now)
         if self.store_up:
             self._tell_earlier(host, state.report, at_start=True)
         self._schedule(TICK, lambda: self._tick(host, state))
@@ -257,7 +257,7 @@
     def leave(self, host: str) -> None:
         """Have an upstream say that it ends, and end."""
         boot = self.upstreams[host].boot
-        self._dispatch(host, UpstreamLeft(boot=boot, now=self.now))
+        self._dispatch(host, UpstreamLeaving(boot=boot, now=self.now))
         self.crash_upstream(host)
 
     def list_reports(self, host: str) -> None:
@@ -265,7 +265,7 @@
         if self.store_up and host in self.nodes:
             reports = tuple(self.stored.values())
             self._dispatch(
-                host, ReportsListed(reports=reports, whole=True, now=self.now)
+                host, ReportsListed(reports=reports, complete=True, now=self.now)
             )
 
     def _read_changes(self, host: str) -> None:
@@ -288,7 +288,7 @@
         """Have some balancers read a new table from the store."""
         self.table = table
         for host in hosts:
-            event = TableOffered(table=table, source="store", now=self.now)
+            event = TableReceived(table=table, source="store", now=self.now)
             self._dispatch(host, event)
 
     # Callers
@@ -418,7 +418,7 @@
                 self._tell_earlier(host, report, at_start=False)
                 self.stored[report.host] = report
                 self._tell_watchers(report, removed=False)
-            case RemoveReport(report=report) | ForgetReport(report=report) if (
+            case RemoveReport(report=report) | RemovePeerReport(report=report) if (
                 self.store_up
             ):
                 self.stored.pop(report.host, None)
@@ -440,7 +440,7 @@
                 checked = UpstreamChecked(open=alive, refused=not alive, now=self.now)
                 self._schedule(LATENCY, lambda: self._dispatch(host, checked))
             case PullTable():
-                offered = TableOffered(table=self.table, source="peer", now=self.now)
+                offered = TableReceived(table=self.table, source="peer", now=self.now)
                 self._schedule(LATENCY, lambda: self._dispatch(host, offered))
             case Note():
                 self.notes.append((host, effect))
--- a/shedsill/testing/weakened.py
+++ b/shedsill/testing/weakened.py
@@ -52,13 +52,13 @@
 
 def deny_flows() -> None:
     """Have a restarted agent deny every flow of before."""
-    start = _agent.start
+    start = _agent.start_agent
 
     def start_complete(state: _agent_state.AgentState, now: float) -> None:
         start(state, now)
-        state.complete = True
+        state.knows_all_flows = True
 
-    _agent.start = start_complete
+    _agent.start_agent = start_complete
 
 
 def ignore_tables() -> None:
@@ -70,8 +70,8 @@
 
 def break_sweep() -> None:
     """Have agents end when they first forget a flow."""
-    _agent.CLOSED_LINGER = None
-    _agent.HALF_OPEN_LIMIT = "soon"
+    _agent.CLOSED_FLOW_SECONDS = None
+    _agent.HALF_OPEN_TIMEOUT_SECONDS = "soon"
 
 
 GUARDS: dict[str, Callable[[], None]] = {
--- a/shedsill/tests/test_datagram_backlog.py
+++ b/shedsill/tests/test_datagram_backlog.py
@@ -5,13 +5,13 @@
 import pytest
 
 from shedsill.datagram._backlog import (
-    EARLIER_TRY,
-    RESCUE_EVERY,
+    EARLIER_ATTEMPT_SECONDS,
+    SLOTS_PER_LATE_REQUEST,
     Backlog,
     Forecast,
-    HeldRequest,
-    choose_next,
-    hold,
+    QueuedRequest,
+    choose_next_request,
+    add_request,
 )
 
 SERVICE = 0.05
@@ -22,8 +22,8 @@
     fields = {
         "slots": SLOTS,
         "cold_until": 0.0,
-        "cold_service": 2 * SERVICE,
-        "service": SERVICE,
+        "cold_service_time": 2 * SERVICE,
+        "service_time": SERVICE,
         **parts,
     }
     return Forecast(now=now, **fields)
@@ -38,20 +38,20 @@
     timeout: float = 2.0,
     urgency: int = 1,
 ) -> None:
-    request = HeldRequest(
+    request = QueuedRequest(
         packets=[],
-        since=asked,
-        asked=asked,
+        queued_at=asked,
+        requested_at=asked,
         urgency=urgency,
-        wanted_by=asked + objective,
-        deadline=asked + timeout,
+        objective_at=asked + objective,
+        deadline_at=asked + timeout,
     )
-    hold(backlog, flow, request)
+    add_request(backlog, flow, request)
 
 
 def take(backlog: Backlog, forecast: Forecast) -> bytes:
-    flow = choose_next(backlog, forecast)
-    del backlog.held[flow]
+    flow = choose_next_request(backlog, forecast)
+    del backlog.requests[flow]
     return flow
 
 
@@ -81,7 +81,7 @@
             )
             number += 1
             next_arrival += gap
-        if backlog.held:
+        if backlog.requests:
             started[take(backlog, make_forecast(now))] = now
         now += SERVICE / SLOTS
     return started
@@ -106,8 +106,8 @@
     backlog = Backlog()
     add(backlog, b"late", 0.0)
     add(backlog, b"fresh", 1.8)
-    assert choose_next(backlog, make_forecast(1.8)) == b"fresh"
-    assert choose_next(backlog, make_forecast(1.9)) == b"late"
+    assert choose_next_request(backlog, make_forecast(1.8)) == b"fresh"
+    assert choose_next_request(backlog, make_forecast(1.9)) == b"late"
 
 
 def test_many_late_requests_begin_sooner() -> None:
@@ -116,8 +116,8 @@
     for number in range(30):
         add(backlog, b"late%d" % number, number / 1000)
     add(backlog, b"fresh", 1.2)
-    assert choose_next(backlog, make_forecast(1.0)) == b"fresh"
-    assert choose_next(backlog, make_forecast(1.25)) == b"late0"
+    assert choose_next_request(backlog, make_forecast(1.0)) == b"fresh"
+    assert choose_next_request(backlog, make_forecast(1.25)) == b"late0"
 
 
 def test_cold_upstreams_are_expected_to_become_faster() -> None:
@@ -127,8 +127,8 @@
     add(backlog, b"fresh", 1.0)
     warm_soon = make_forecast(1.0, cold_until=1.1)
     cold_for_long = make_forecast(1.0, cold_until=3.0)
-    assert choose_next(backlog, warm_soon) == b"fresh"
-    assert choose_next(backlog, cold_for_long) == b"late0"
+    assert choose_next_request(backlog, warm_soon) == b"fresh"
+    assert choose_next_request(backlog, cold_for_long) == b"late0"
 
 
 def test_a_backlog_that_ends_loses_no_request_that_can_be_saved() -> None:
@@ -163,7 +163,7 @@
         now - int(flow[3:]) * gap for flow, now in started.items() if now > 2 * 2.0
     ]
     in_time = sum(wait + SERVICE <= 0.2 for wait in waits) / len(waits)
-    assert in_time > 1 - 1 / RESCUE_EVERY - 0.05
+    assert in_time > 1 - 1 / SLOTS_PER_LATE_REQUEST - 0.05
     assert in_time < 1.0
 
 
@@ -189,8 +189,8 @@
     backlog = Backlog()
     add(backlog, b"late", 0.0)
     add(backlog, b"fresh", 1.9)
-    unknown = make_forecast(1.95, cold_service=0.0, service=0.0)
-    assert choose_next(backlog, unknown) == b"fresh"
+    unknown = make_forecast(1.95, cold_service_time=0.0, service_time=0.0)
+    assert choose_next_request(backlog, unknown) == b"fresh"
 
 
 @pytest.mark.parametrize("cold_until", [0.0, 0.5, 9.0])
@@ -205,7 +205,7 @@
     backlog = Backlog()
     add(backlog, b"closed", 0.9)
     add(backlog, b"lost", 0.0)
-    backlog.held[b"closed"].closed = True
+    backlog.requests[b"closed"].caller_closed = True
     now = 2.0
     assert take(backlog, make_forecast(now)) == b"lost"
     assert take(backlog, make_forecast(now)) == b"closed"
@@ -215,27 +215,27 @@
     backlog = Backlog()
     add(backlog, b"closed", 0.0)
     add(backlog, b"late", 0.5)
-    backlog.held[b"closed"].closed = True
+    backlog.requests[b"closed"].caller_closed = True
     assert take(backlog, make_forecast(1.0)) == b"late"
 
 
 def test_a_caller_that_may_have_tried_before_is_served_earlier() -> None:
     """Found after power losses: a third of the callers in the queue had spent 1.5 s
     of their 2.5 s on a try that nobody saw, and gave up before their turn."""
-    backlog = Backlog(openings_lost_at=1.0)
+    backlog = Backlog(syn_lost_at=1.0)
     add(backlog, b"again", 1.1, timeout=2.5)
     add(backlog, b"fresh", 1.9, timeout=2.5)
-    due = 1.1 + 2.5 - EARLIER_TRY - 2 * SERVICE
-    assert choose_next(backlog, make_forecast(due - 0.05)) == b"fresh"
-    assert choose_next(backlog, make_forecast(due + 0.01)) == b"again"
+    due = 1.1 + 2.5 - EARLIER_ATTEMPT_SECONDS - 2 * SERVICE
+    assert choose_next_request(backlog, make_forecast(due - 0.05)) == b"fresh"
+    assert choose_next_request(backlog, make_forecast(due + 0.01)) == b"again"
 
 
 def test_a_caller_that_is_still_there_had_not_tried_before() -> None:
-    backlog = Backlog(openings_lost_at=1.0)
+    backlog = Backlog(syn_lost_at=1.0)
     add(backlog, b"patient", 1.1, timeout=2.5)
-    now = 1.1 + 2.5 - EARLIER_TRY
+    now = 1.1 + 2.5 - EARLIER_ATTEMPT_SECONDS
     add(backlog, b"fresh", now, timeout=2.5)
-    assert choose_next(backlog, make_forecast(now)) == b"fresh"
+    assert choose_next_request(backlog, make_forecast(now)) == b"fresh"
 
 
 @pytest.mark.parametrize(("asked", "expected"), [(1.8, True), (2.0, False)])
@@ -243,6 +243,6 @@
     asked: float, expected: bool
 ) -> None:
     """Whose last copy was lost, 0.6 s after the first, tries again 0.9 s later."""
-    backlog = Backlog(openings_lost_at=1.0)
+    backlog = Backlog(syn_lost_at=1.0)
     add(backlog, b"f", asked)
-    assert backlog.held[b"f"].tried_before is expected
+    assert backlog.requests[b"f"].may_be_retry is expected
--- a/shedsill/tests/test_datagram_flows.py
+++ b/shedsill/tests/test_datagram_flows.py
@@ -482,7 +482,7 @@
     balancer = world.nodes[B1]
     view = balancer.nodes.upstreams[A1]
     old = replace(view.report, incarnation=9_999, boot="i-old")
-    listed = ReportsListed(reports=(old,), whole=True, now=world.now)
+    listed = ReportsListed(reports=(old,), complete=True, now=world.now)
     world._dispatch(B1, listed)
     before = world.count_messages(Roster)
     world.run(5.0)
@@ -495,7 +495,7 @@
     world.kill(A1)
     state = world.add_agent(A1, "dispatcher")
     fresh = replace(state.report, serial=1)
-    world._dispatch(B1, ReportsListed(reports=(fresh,), whole=True, now=world.now))
+    world._dispatch(B1, ReportsListed(reports=(fresh,), complete=True, now=world.now))
     world.run(0.2)
     view = world.nodes[B1].nodes.upstreams[A1]
     assert view.report.incarnation == state.report.incarnation
--- a/shedsill/tests/test_datagram_heartbeats.py
+++ b/shedsill/tests/test_datagram_heartbeats.py
@@ -11,16 +11,16 @@
 from shedsill._addresses import Address
 from shedsill.coordination.platform import MemoryPlatform
 from shedsill.datagram._agent_state import AgentFlow, AgentState, Phase
-from shedsill.datagram._backlog import HeldRequest
+from shedsill.datagram._backlog import QueuedRequest
 from shedsill.datagram._effects import Effect, ResetFlow, SendToUpstream
 from shedsill.datagram._events import EarlierReportRead, Heartbeat, HeartbeatReceived
 from shedsill.datagram._messages import Role, UpstreamState
 from shedsill.datagram._runtime.agent import make_agent
 from shedsill.datagram._upstream import (
-    BOOT_SILENCE,
+    BOOT_SILENCE_SECONDS,
     FIRST_SERIAL,
-    take_earlier_report,
-    take_heartbeat,
+    handle_earlier_report,
+    handle_heartbeat,
 )
 from shedsill.platform.heartbeats import InstanceCalls
 from shedsill.testing.agents import make_agent_state
@@ -40,7 +40,7 @@
         state.report, boot="", state=UpstreamState.UNKNOWN, incarnation=7
     )
     beat(state, "i-2", 5, 1.0)
-    state.flows[b"f"] = AgentFlow(phase=Phase.OPEN, seen=1.0, balancer="10.0.0.1")
+    state.flows[b"f"] = AgentFlow(phase=Phase.OPEN, last_packet_at=1.0, balancer="10.0.0.1")
     return state
 
 
@@ -52,7 +52,7 @@
     upstream: UpstreamState = UpstreamState.READY,
 ) -> list[Effect]:
     heartbeat = Heartbeat(boot=boot, serial=serial, state=upstream, slots=SLOTS)
-    return take_heartbeat(state, HeartbeatReceived(heartbeat=heartbeat, now=now))
+    return handle_heartbeat(state, HeartbeatReceived(heartbeat=heartbeat, now=now))
 
 
 def is_unmoved(state: AgentState, effects: list[Effect]) -> bool:
@@ -80,10 +80,10 @@
     state.report = replace(state.report, boot="", incarnation=7)
     earlier = replace(state.report, incarnation=3, boot="i-1")
     beat(state, "i-2", FIRST_SERIAL, 1.0)
-    take_earlier_report(
+    handle_earlier_report(
         state, EarlierReportRead(report=earlier, at_start=True, now=1.1)
     )
-    beat(state, "i-1", 9, 1.0 + BOOT_SILENCE + 0.1)
+    beat(state, "i-1", 9, 1.0 + BOOT_SILENCE_SECONDS + 0.1)
     assert state.report.boot == "i-2"
 
 
@@ -93,10 +93,10 @@
     state.report = replace(state.report, boot="", incarnation=7)
     earlier = replace(state.report, incarnation=3, boot="i-2")
     beat(state, "i-1", 9, 1.0)
-    take_earlier_report(
+    handle_earlier_report(
         state, EarlierReportRead(report=earlier, at_start=True, now=1.1)
     )
-    beat(state, "i-2", 6, 1.0 + BOOT_SILENCE)
+    beat(state, "i-2", 6, 1.0 + BOOT_SILENCE_SECONDS)
     assert state.report.boot == "i-2"
 
 
@@ -110,7 +110,7 @@
     agent: AgentState,
 ) -> None:
     assert is_unmoved(agent, beat(agent, "i-3", 2, 1.5))
-    beat(agent, "i-3", 4, 1.0 + BOOT_SILENCE)
+    beat(agent, "i-3", 4, 1.0 + BOOT_SILENCE_SECONDS)
     assert agent.report.boot == "i-3"
 
 
@@ -129,17 +129,17 @@
     first heartbeat."""
     agent.flows[b"new"] = AgentFlow(
         phase=Phase.OPEN,
-        seen=2.0,
+        last_packet_at=2.0,
         balancer="10.0.0.1",
         taken_at=2.0,
-        waiting=True,
-        working=True,
+        pending=True,
+        running=True,
     )
-    agent.busy = agent.working = 1
+    agent.busy = agent.running = 1
     effects = beat(agent, "i-3", FIRST_SERIAL, 2.013)
     assert [e.flow for e in effects if isinstance(e, ResetFlow)] == [b"f"]
     assert list(agent.flows) == [b"new"]
-    assert agent.busy == agent.working == 1
+    assert agent.busy == agent.running == 1
 
 
 def test_requests_held_for_a_new_run_get_the_slots_of_the_last_one(
@@ -149,17 +149,17 @@
     packet = CODEC.decode_caller(make_packet(CALLER, SERVICE, 0, content=b"x"))
     assert packet is not None
     dead = agent.flows[b"f"]
-    dead.waiting = dead.working = True
+    dead.pending = dead.running = True
     agent.flows[packet.flow] = AgentFlow(
-        phase=Phase.OPEN, seen=1.5, balancer="10.0.0.1", taken_at=1.5, waiting=True
+        phase=Phase.OPEN, last_packet_at=1.5, balancer="10.0.0.1", taken_at=1.5, pending=True
     )
-    agent.backlog.held[packet.flow] = HeldRequest(
-        packets=[packet], since=1.5, asked=1.5, urgency=0, wanted_by=9.0, deadline=9.0
+    agent.backlog.requests[packet.flow] = QueuedRequest(
+        packets=[packet], queued_at=1.5, requested_at=1.5, urgency=0, objective_at=9.0, deadline_at=9.0
     )
-    agent.busy, agent.working = 2, 1
+    agent.busy, agent.running = 2, 1
     effects = beat(agent, "i-3", FIRST_SERIAL, 2.0)
     assert [e.packet for e in effects if isinstance(e, SendToUpstream)] == [packet]
-    assert agent.busy == agent.working == 1
+    assert agent.busy == agent.running == 1
 
 
 async def answer_heartbeats(*beats: tuple[str, int, str]) -> list[int]:
--- a/shedsill/tests/test_datagram_overload.py
+++ b/shedsill/tests/test_datagram_overload.py
@@ -7,8 +7,8 @@
 
 from shedsill.datagram import _slots
 from shedsill.datagram._agent_state import AgentState
-from shedsill.datagram._backlog import HeldRequest, hold
-from shedsill.datagram._health import note_answer
+from shedsill.datagram._backlog import QueuedRequest, add_request
+from shedsill.datagram._health import record_answer
 from shedsill.datagram._messages import Load
 from shedsill.datagram._openings import MAX_OVERLOADED
 from shedsill.datagram._packet import SYN, Packet
@@ -25,17 +25,17 @@
 def overload(state: AgentState, requests: int, now: float) -> None:
     """Let an agent hold many requests whose upstream needs `SERVICE_TIME` for each."""
     state.report = replace(state.report, load=Load(slots=SLOTS))
-    note_answer(state.health, SERVICE_TIME, now)
+    record_answer(state.health, SERVICE_TIME, now)
     for number in range(requests):
-        request = HeldRequest(
+        request = QueuedRequest(
             packets=[],
-            since=now,
-            asked=now,
+            queued_at=now,
+            requested_at=now,
             urgency=1,
-            wanted_by=now + 0.2,
-            deadline=now + 60.0,
+            objective_at=now + 0.2,
+            deadline_at=now + 60.0,
         )
-        hold(state.backlog, b"held%d" % number, request)
+        add_request(state.backlog, b"held%d" % number, request)
 
 
 def make_opening(*, copy: int = 0, timeout: float = TIMEOUT) -> Packet:
@@ -52,27 +52,27 @@
 ) -> None:
     state = make_agent_state(slots=SLOTS)
     overload(state, held, 1.0)
-    assert _slots.can_answer(state, make_opening(), 1.0) is expected
+    assert _slots.can_answer_in_time(state, make_opening(), 1.0) is expected
 
 
 def test_a_caller_that_has_waited_has_less_time_left() -> None:
     state = make_agent_state(slots=SLOTS)
     overload(state, SERVABLE, 1.0)
-    assert not _slots.can_answer(state, make_opening(copy=2), 1.0)
+    assert not _slots.can_answer_in_time(state, make_opening(copy=2), 1.0)
 
 
 def test_an_opening_without_a_known_timeout_is_taken() -> None:
     state = make_agent_state(slots=SLOTS)
     overload(state, 10 * SERVABLE, 1.0)
-    assert _slots.can_answer(state, make_opening(timeout=0.0), 1.0)
+    assert _slots.can_answer_in_time(state, make_opening(timeout=0.0), 1.0)
 
 
 def test_requests_whose_callers_have_closed_do_not_count() -> None:
     state = make_agent_state(slots=SLOTS)
     overload(state, 10 * SERVABLE, 1.0)
-    for request in state.backlog.held.values():
-        request.closed = True
-    assert _slots.can_answer(state, make_opening(), 1.0)
+    for request in state.backlog.requests.values():
+        request.caller_closed = True
+    assert _slots.can_answer_in_time(state, make_opening(), 1.0)
 
 
 def test_nothing_is_refused_before_the_pace_is_known() -> None:
@@ -80,7 +80,7 @@
     overload(state, 10 * SERVABLE, 1.0)
     state.health.warm.answers = 0
     state.health.warm.seconds = 0.0
-    assert _slots.can_answer(state, make_opening(), 1.0)
+    assert _slots.can_answer_in_time(state, make_opening(), 1.0)
 
 
 def make_world(upstreams: int, overloaded: int) -> World:
--- a/shedsill/tests/test_datagram_pauses.py
+++ b/shedsill/tests/test_datagram_pauses.py
@@ -10,7 +10,7 @@
 import pytest
 
 from shedsill.datagram._agent_state import AgentFlow, AgentState, Phase
-from shedsill.datagram._backlog import HeldRequest
+from shedsill.datagram._backlog import QueuedRequest
 from shedsill.datagram._effects import Effect, ResetFlow
 from shedsill.datagram._events import Heartbeat, HeartbeatReceived, Tick
 from shedsill.datagram._messages import UpstreamState
@@ -29,20 +29,20 @@
     beat(state, "i-2", 5, 10.0)
     state.flows[b"at work"] = AgentFlow(
         phase=Phase.OPEN,
-        seen=10.0,
+        last_packet_at=10.0,
         balancer="10.0.0.1",
         taken_at=9.0,
-        waiting=True,
-        working=True,
-        working_since=10.0,
+        pending=True,
+        running=True,
+        request_sent_at=10.0,
     )
     state.flows[b"held"] = AgentFlow(
-        phase=Phase.OPEN, seen=10.0, balancer="10.0.0.1", taken_at=9.0, waiting=True
+        phase=Phase.OPEN, last_packet_at=10.0, balancer="10.0.0.1", taken_at=9.0, pending=True
     )
-    state.backlog.held[b"held"] = HeldRequest(
-        packets=[], since=10.0, asked=10.0, urgency=0, wanted_by=12.0, deadline=99.0
+    state.backlog.requests[b"held"] = QueuedRequest(
+        packets=[], queued_at=10.0, requested_at=10.0, urgency=0, objective_at=12.0, deadline_at=99.0
     )
-    state.busy, state.working = 2, 1
+    state.busy, state.running = 2, 1
     return state
 
 
@@ -53,14 +53,14 @@
 
 def test_a_held_request_outlives_a_pause(agent: AgentState) -> None:
     reduce(agent, Tick(now=10.0 + FROZEN))
-    assert b"held" in agent.backlog.held
+    assert b"held" in agent.backlog.requests
 
 
 def test_a_request_at_work_keeps_its_slot_through_a_pause(agent: AgentState) -> None:
     """Its answer may be waiting to be read."""
     reduce(agent, Tick(now=10.0 + FROZEN))
-    assert agent.flows[b"at work"].working
-    assert agent.working == 1
+    assert agent.flows[b"at work"].running
+    assert agent.running == 1
 
 
 def test_a_late_heartbeat_after_a_pause_resets_nothing(agent: AgentState) -> None:
@@ -76,8 +76,8 @@
     while now < 10.0 + FROZEN:
         now += 0.04
         reduce(agent, Tick(now=now))
-    assert not agent.backlog.held
-    assert agent.working == 0
+    assert not agent.backlog.requests
+    assert agent.running == 0
     beat(agent, "i-3", 9, now)
     assert agent.report.boot == "i-3"
 
@@ -88,7 +88,7 @@
     """The pause moves no time on by which flows are told apart."""
     agent.flows[b"new"] = AgentFlow(
         phase=Phase.OPEN,
-        seen=10.01 + FROZEN,
+        last_packet_at=10.01 + FROZEN,
         balancer="10.0.0.1",
         taken_at=10.01 + FROZEN,
     )
--- a/shedsill/tests/test_datagram_selection.py
+++ b/shedsill/tests/test_datagram_selection.py
@@ -5,12 +5,12 @@
 from msgspec.structs import replace
 
 from shedsill.datagram._health import (
-    FIRST_PAUSE,
-    FORGIVEN_AFTER,
-    LONGEST_PAUSE,
+    FIRST_AVOIDANCE_SECONDS,
+    AVOIDANCE_RESET_SECONDS,
+    MAX_AVOIDANCE_SECONDS,
     Health,
-    get_avoided,
-    note_crash,
+    get_avoidance_left,
+    record_crash,
 )
 from shedsill.datagram._messages import Load, NodeReport, Role, UpstreamState
 from shedsill.datagram._selection import (
@@ -108,14 +108,14 @@
 
 def test_one_crash_is_forgiven_and_more_are_not() -> None:
     health = Health()
-    note_crash(health, 10.0)
-    assert get_avoided(health, 10.0) == 0.0
-    note_crash(health, 14.0)
-    assert get_avoided(health, 14.0) == FIRST_PAUSE
+    record_crash(health, 10.0)
+    assert get_avoidance_left(health, 10.0) == 0.0
+    record_crash(health, 14.0)
+    assert get_avoidance_left(health, 14.0) == FIRST_AVOIDANCE_SECONDS
     for now in (16.0, 18.0, 20.0, 22.0, 24.0):
-        note_crash(health, now)
-    assert get_avoided(health, 24.0) == LONGEST_PAUSE
-    later = 24.0 + LONGEST_PAUSE + FORGIVEN_AFTER + 1
-    note_crash(health, later)
-    note_crash(health, later + 1)
-    assert get_avoided(health, later + 1) == FIRST_PAUSE
+        record_crash(health, now)
+    assert get_avoidance_left(health, 24.0) == MAX_AVOIDANCE_SECONDS
+    later = 24.0 + MAX_AVOIDANCE_SECONDS + AVOIDANCE_RESET_SECONDS + 1
+    record_crash(health, later)
+    record_crash(health, later + 1)
+    assert get_avoidance_left(health, later + 1) == FIRST_AVOIDANCE_SECONDS
--- a/shedsill/tests/test_datagram_slots.py
+++ b/shedsill/tests/test_datagram_slots.py
@@ -6,8 +6,8 @@
 from msgspec.structs import replace
 
 from shedsill.datagram import _slots
-from shedsill.datagram._agent_packets import take_forwarded, take_upstream_packet
-from shedsill.datagram._agent_state import AgentState, make_load
+from shedsill.datagram._agent_packets import handle_forwarded_packet, handle_upstream_packet
+from shedsill.datagram._agent_state import AgentState, build_load
 from shedsill.datagram._effects import Effect, ObserveLatency, SendToUpstream
 from shedsill.datagram._events import (
     EarlierReportRead,
@@ -19,7 +19,7 @@
 from shedsill.datagram._messages import Load, UpstreamState
 from shedsill.datagram._packet import ACK, FIN, RST, SYN, Packet
 from shedsill.datagram._selection import DEFAULT_SLOTS, number_service
-from shedsill.datagram._upstream import take_earlier_report, take_heartbeat
+from shedsill.datagram._upstream import handle_earlier_report, handle_heartbeat
 from shedsill.testing.agents import make_agent_state
 
 SERVICE = "dispatcher"
@@ -45,7 +45,7 @@
     event = ForwardedPacket(
         packet=packet, service=number_service(SERVICE), balancer=BALANCER, now=now
     )
-    return take_forwarded(state, event)
+    return handle_forwarded_packet(state, event)
 
 
 def list_sent(effects: list[Effect]) -> list[bytes]:
@@ -64,7 +64,7 @@
     """Open a flow, send a request on it, return what reached the upstream."""
     forward(state, make_packet(flow, SYN, copy=copy), now)
     answer = make_packet(flow, SYN | ACK, seq=0)
-    take_upstream_packet(state, UpstreamPacket(packet=answer, now=now))
+    handle_upstream_packet(state, UpstreamPacket(packet=answer, now=now))
     parts = {"timeout": 2.0, "length": 10, **parts}
     request = make_packet(flow, ACK, urgency=urgency, **parts)
     return list_sent(forward(state, request, now))
@@ -72,7 +72,7 @@
 
 def answer(state: AgentState, flow: bytes, now: float) -> list[bytes]:
     packet = make_packet(flow, ACK, length=5)
-    effects = take_upstream_packet(state, UpstreamPacket(packet=packet, now=now))
+    effects = handle_upstream_packet(state, UpstreamPacket(packet=packet, now=now))
     return list_sent(effects)
 
 
@@ -84,14 +84,14 @@
 
 def test_requests_pass_while_slots_are_free(state: AgentState) -> None:
     fill(state)
-    assert state.working == state.busy == FULL
+    assert state.running == state.busy == FULL
 
 
 def test_a_request_is_held_while_all_slots_are_taken(state: AgentState) -> None:
     fill(state)
     assert ask(state, b"late", 1.1) == []
     assert state.busy == FULL + 1
-    assert state.working == FULL
+    assert state.running == FULL
 
 
 def test_the_latest_request_goes_first(state: AgentState) -> None:
@@ -146,7 +146,7 @@
 def test_slots_are_known_from_the_report_of_an_earlier_run(state: AgentState) -> None:
     earlier = replace(state.report, incarnation=7, load=Load(slots=5))
     state.report = replace(state.report, load=Load(), boot="")
-    take_earlier_report(
+    handle_earlier_report(
         state, EarlierReportRead(report=earlier, at_start=True, now=1.0)
     )
     sent = [bool(ask(state, b"%d" % n, 1.0)) for n in range(8)]
@@ -159,15 +159,15 @@
 ) -> None:
     earlier = replace(state.report, incarnation=7)
     state.report = replace(state.report, boot="")
-    state.complete = False
-    take_earlier_report(
+    state.knows_all_flows = False
+    handle_earlier_report(
         state, EarlierReportRead(report=earlier, at_start=True, now=1.0)
     )
     beat = Heartbeat(
         boot=boot, serial=4, state=UpstreamState.READY, slots=SLOTS, cold=0.0
     )
-    take_heartbeat(state, HeartbeatReceived(heartbeat=beat, now=1.1))
-    assert state.complete is complete
+    handle_heartbeat(state, HeartbeatReceived(heartbeat=beat, now=1.1))
+    assert state.knows_all_flows is complete
 
 
 def test_the_more_urgent_request_goes_first(state: AgentState) -> None:
@@ -183,7 +183,7 @@
     ask(state, b"third", 1.05, timeout=2.0)
     ask(state, b"first", 1.1, timeout=2.0, objective=0.2)
     ask(state, b"second", 1.15, timeout=2.0, objective=0.2)
-    assert list_sent(_slots.take_tick(state, 2.0)) == []
+    assert list_sent(_slots.expire_requests(state, 2.0)) == []
     assert answer(state, flows[1], 2.0) == [b"first"]
     assert answer(state, b"third", 2.0) == [b"second"]
 
@@ -194,19 +194,19 @@
     """It no longer counted, so that the upstream was given more than its slots."""
     flows = fill(state)
     ask(state, b"held", 1.0, timeout=7.5)
-    now = 1.0 + _slots.WAITING_LIMIT + 1.0
-    state.flows[b"held"].seen = now
+    now = 1.0 + _slots.ANSWER_TIMEOUT_SECONDS + 1.0
+    state.flows[b"held"].last_packet_at = now
     for flow in flows:
         answer(state, flow, now)
-    _slots.take_tick(state, now + 0.1)
-    assert state.working == 1
+    _slots.expire_requests(state, now + 0.1)
+    assert state.running == 1
 
 
 def test_a_held_request_whose_caller_is_silent_is_dropped(state: AgentState) -> None:
     fill(state)
     ask(state, b"held", 1.0, timeout=7.5)
-    _slots.take_tick(state, 1.0 + _slots.CALLER_SILENCE + 0.1)
-    assert b"held" not in state.backlog.held
+    _slots.expire_requests(state, 1.0 + _slots.CALLER_SILENCE_SECONDS + 0.1)
+    assert b"held" not in state.backlog.requests
 
 
 def test_requests_with_large_bodies_are_not_held(state: AgentState) -> None:
@@ -247,9 +247,9 @@
 def test_requests_that_are_never_answered_stop_counting(state: AgentState) -> None:
     fill(state)
     ask(state, b"held", 1.0, timeout=20.0)
-    now = 1.0 + _slots.WAITING_LIMIT + 0.1
-    state.flows[b"held"].seen = now
-    effects = _slots.take_tick(state, now)
+    now = 1.0 + _slots.ANSWER_TIMEOUT_SECONDS + 0.1
+    state.flows[b"held"].last_packet_at = now
+    effects = _slots.expire_requests(state, now)
     assert list_sent(effects) == [b"held"]
 
 
@@ -260,11 +260,11 @@
     flows = fill(state)
     ask(state, b"held", 1.1)
     late = make_packet(b"held", ACK, length=5, ack=1)
-    take_upstream_packet(state, UpstreamPacket(packet=late, now=1.2))
+    handle_upstream_packet(state, UpstreamPacket(packet=late, now=1.2))
     assert answer(state, flows[0], 1.3) == [b"held"]
     for flow in (*flows[1:], b"held"):
         answer(state, flow, 1.4)
-    assert state.working == state.busy == 0
+    assert state.running == state.busy == 0
 
 
 def test_a_held_request_that_the_upstream_has_received_is_dropped(
@@ -273,21 +273,21 @@
     flows = fill(state)
     ask(state, b"held", 1.1)
     received = make_packet(b"held", ACK, ack=11)
-    take_upstream_packet(state, UpstreamPacket(packet=received, now=1.2))
-    assert not state.backlog.held
+    handle_upstream_packet(state, UpstreamPacket(packet=received, now=1.2))
+    assert not state.backlog.requests
     assert answer(state, flows[0], 1.3) == []
 
 
 def test_a_copy_of_a_request_from_before_a_restart_takes_no_slot(
     state: AgentState,
 ) -> None:
-    state.complete = False
+    state.knows_all_flows = False
     request = make_packet(b"old", ACK, length=10, timeout=2.0)
     assert list_sent(forward(state, request, 1.0)) == [b"old"]
     received = make_packet(b"old", ACK, ack=11)
-    take_upstream_packet(state, UpstreamPacket(packet=received, now=1.1))
+    handle_upstream_packet(state, UpstreamPacket(packet=received, now=1.1))
     assert list_sent(forward(state, request, 1.2)) == [b"old"]
-    assert state.working == 0
+    assert state.running == 0
 
 
 def test_an_upstream_that_fails_quickly_asks_to_be_avoided(state: AgentState) -> None:
@@ -298,13 +298,13 @@
         ask(state, flow, now)
         now += 0.05
         answer(state, flow, now)
-    assert make_load(state, now).avoided == 0.0
+    assert build_load(state, now).avoided == 0.0
     for number in range(3):
         flow = b"bad%d" % number
         ask(state, flow, now)
         now += 0.001
         answer(state, flow, now)
-    assert make_load(state, now).avoided > 0.0
+    assert build_load(state, now).avoided > 0.0
 
 
 def test_time_in_the_queue_does_not_hide_quick_failures(state: AgentState) -> None:
@@ -318,13 +318,13 @@
     answer(state, flows[0], 40.0)
     for number in range(3):
         answer(state, b"bad%d" % number, 40.001)
-    assert make_load(state, 40.002).avoided > 0.0
+    assert build_load(state, 40.002).avoided > 0.0
 
 
 def close(state: AgentState, flow: bytes, now: float) -> list[Effect]:
     """Have the upstream's FIN come, which may overtake the answer before it."""
     packet = make_packet(flow, ACK | FIN, seq=900)
-    return take_upstream_packet(state, UpstreamPacket(packet=packet, now=now))
+    return handle_upstream_packet(state, UpstreamPacket(packet=packet, now=now))
 
 
 def test_an_end_that_overtakes_its_answer_counts_as_the_answer(
@@ -337,7 +337,7 @@
         pytest.approx(0.05)
     ]
     assert state.health.warm.answers == 1
-    assert state.working == 0
+    assert state.running == 0
 
 
 def test_quick_failures_on_flows_of_one_request_are_noticed(state: AgentState) -> None:
@@ -347,7 +347,7 @@
     for number in range(3):
         ask(state, b"bad%d" % number, 30.0 + number)
         close(state, b"bad%d" % number, 30.001 + number)
-    assert make_load(state, 32.002).avoided > 0.0
+    assert build_load(state, 32.002).avoided > 0.0
 
 
 def test_an_end_does_not_answer_a_held_request(state: AgentState) -> None:
@@ -355,7 +355,7 @@
     ask(state, b"held", 1.1)
     close(state, b"held", 1.2)
     assert state.health.warm.answers == 0
-    assert not state.backlog.held
+    assert not state.backlog.requests
 
 
 def test_the_end_of_a_flow_that_its_caller_closed_is_no_answer(
@@ -367,7 +367,7 @@
     forward(state, make_packet(b"a", ACK | FIN, seq=11), 1.05)
     close(state, b"a", 1.051)
     assert state.health.warm.answers == 0
-    assert state.working == 0
+    assert state.running == 0
 
 
 def test_a_held_request_whose_caller_gives_up_takes_no_slot(state: AgentState) -> None:
@@ -381,9 +381,9 @@
 
 def test_a_copy_of_an_opening_tells_that_openings_were_lost(state: AgentState) -> None:
     ask(state, b"first", 1.0)
-    assert state.backlog.openings_lost_at is None
+    assert state.backlog.syn_lost_at is None
     ask(state, b"second", 1.1, copy=1)
-    assert state.backlog.openings_lost_at == pytest.approx(0.9)
+    assert state.backlog.syn_lost_at == pytest.approx(0.9)
 
 
 def test_a_request_without_a_known_timeout_is_not_taken_for_lost(
--- a/shedsill/tests/test_platform_packets.py
+++ b/shedsill/tests/test_platform_packets.py
@@ -31,7 +31,7 @@
     assert packet is not None
     assert (packet.flags, packet.seq, packet.length) == (SYN, 0x11223344, 0)
     assert packet.endpoint == bytes.fromhex("c612000101bb")
-    assert CODEC.get_caller(packet.flow) == "100.64.0.7"
+    assert CODEC.get_caller_host(packet.flow) == "100.64.0.7"
 
 
 def test_the_documented_reset_is_written() -> None:
--- a/shedsill/tests/test_platform_settings.py
+++ b/shedsill/tests/test_platform_settings.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from shedsill._addresses import Address
-from shedsill.datagram._events import Heartbeat, UpstreamLeft
+from shedsill.datagram._events import Heartbeat, UpstreamLeaving
 from shedsill.datagram._forwarding import ServiceShare, choose_service
 from shedsill.datagram._messages import Role, UpstreamState, decode_message
 from shedsill.errors import DecodeError, SettingError
@@ -185,7 +185,7 @@
         boot="i-1", serial=9, state=UpstreamState.DRAINING, slots=4, cold=1.5
     )
     left = calls.decode_call("DELETE", "/-/instances/i-1", b"", 5.0)
-    assert left == UpstreamLeft(boot="i-1", now=5.0)
+    assert left == UpstreamLeaving(boot="i-1", now=5.0)
     assert calls.decode_call("GET", "/-/instances/i-1", b"", 5.0) is None
     assert calls.decode_call("PUT", "/elsewhere", b"{}", 5.0) is None
 
