--- a/shedsill/datagram/_membership.py
+++ b/shedsill/datagram/_membership.py
@@ -10,7 +10,7 @@
 from shedsill.datagram._balancer_state import BalancerState, reset_flows
 from shedsill.datagram._effects import (
     Effect,
-    ForgetReport,
+    RemovePeerReport,
     PullTable,
     ReadCheckpoint,
     SendMessage,
@@ -171,7 +171,7 @@
     _report_polling.record_read(state.polling, event.now, unknown=bool(unknown), is_collector=is_first)
     for host in event.removed:
         effects += _handle_removed_report(state, host, event.now)
-    if event.whole and not state.nodes.store_listed:
+    if event.complete and not state.nodes.store_listed:
         state.nodes.store_listed = True
         state.next_sync_at = event.now
         effects += synchronize_peers(state, event.now)
@@ -265,7 +265,7 @@
         if not view.lost or now - view.lost_at < LOST_REPORT_RETENTION_SECONDS:
             continue
         if first:
-            effects.append(ForgetReport(view.report))
+            effects.append(RemovePeerReport(view.report))
         effects += _remove_upstream(state, host)
     return effects
 
