--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -63,7 +63,7 @@
         address=Address("10.2.0.1", index + 1),
         balancer=False,
         incarnation=1,
-        beat=1,
+        heartbeat_number=1,
         generation=1,
     )
 
--- a/benchmarks/opaque.py
+++ b/benchmarks/opaque.py
@@ -25,10 +25,10 @@
 from shedsill.datagram._nodes import merge_report
 from shedsill.datagram._reducer import reduce
 from shedsill.datagram._selection import number_service
-from shedsill.platform.packets import HeadCodec
+from shedsill.platform.packets import HeaderCodec
 from shedsill.testing.flow_peers import SERVICE_HOST, make_packet
 
-CODEC = HeadCodec()
+CODEC = HeaderCodec()
 FLOWS = 20_000
 SERVICE = "dispatcher"
 AGENTS = 55
--- a/shedsill/_addresses.py
+++ b/shedsill/_addresses.py
@@ -10,7 +10,7 @@
 from shedsill.errors import DocumentError
 
 MAX_PORT = 65_535
-CACHED_ADDRESSES = 65_536
+MAX_CACHED_ADDRESSES = 65_536
 
 
 class Address(Struct, frozen=True, order=True):
@@ -37,7 +37,7 @@
         return (self.host, self.port)
 
 
-@functools.lru_cache(maxsize=CACHED_ADDRESSES)
+@functools.lru_cache(maxsize=MAX_CACHED_ADDRESSES)
 def parse_address(text: str, *, field: str = "address") -> Address:
     """Read ``IP:PORT``.
 
--- a/shedsill/_cli/operator.py
+++ b/shedsill/_cli/operator.py
@@ -187,7 +187,7 @@
     """Show the status of a resource as it changes, until a phase is reached."""
     kind, name = get_kind(document.resource), document.resource.name
     status_name = f"{kind}.{name}"
-    backoff = Backoff(longest=1.0)
+    backoff = Backoff(max_delay=1.0)
     last = None
     try:
         async with asyncio.timeout(timeout or None):
--- a/shedsill/_cli/writes.py
+++ b/shedsill/_cli/writes.py
@@ -16,7 +16,7 @@
     Stored,
     StoredObject,
 )
-from shedsill.coordination.update import CHANGE_ID
+from shedsill.coordination.update import CHANGE_ID_KEY
 from shedsill.http3._resources import Document, encode_spec, get_kind
 
 READ_BACKS = 5
@@ -66,7 +66,7 @@
     """
     kind, name = get_kind(document.resource), document.resource.name
     change_id = secrets.token_hex(8)
-    value = {"spec": encode_spec(document.resource), CHANGE_ID: change_id}
+    value = {"spec": encode_spec(document.resource), CHANGE_ID_KEY: change_id}
     read = await client.call(Get(kind=kind, name=name))
     if not isinstance(read, Found):
         return Unwritten(reason=str(read))
@@ -98,7 +98,7 @@
         read = await client.call(Get(kind=kind, name=name))
         if not isinstance(read, Found):
             continue
-        if read.object is not None and read.object.value.get(CHANGE_ID) == change_id:
+        if read.object is not None and read.object.value.get(CHANGE_ID_KEY) == change_id:
             return Written(version=read.object.version)
         return Unwritten(reason="the write has not taken effect")
     return Unwritten(reason="the platform does not answer; the write is unknown")
--- a/shedsill/_shared_effects.py
+++ b/shedsill/_common_effects.py
@@ -9,7 +9,7 @@
 from shedsill._catalogue import LogEvent
 
 
-class Note(Struct, frozen=True, kw_only=True):
+class WriteLog(Struct, frozen=True, kw_only=True):
     """Write a log line and count it.
 
     Attributes
--- a/shedsill/_connections.py
+++ b/shedsill/_connections.py
@@ -8,12 +8,12 @@
 
 import socket
 
-USER_TIMEOUT = 2_000
+USER_TIMEOUT_MILLISECONDS = 2_000
 """Milliseconds without an acknowledgement of what was sent after which the kernel
 gives a connection up."""
 
-KEEPALIVE_IDLE = 1
-KEEPALIVE_INTERVAL = 1
+KEEPALIVE_IDLE_SECONDS = 1
+KEEPALIVE_INTERVAL_SECONDS = 1
 KEEPALIVE_PROBES = 2
 """Seconds without traffic before the kernel probes the other end, seconds between
 probes, and probes without an answer after which the connection is given up.  A silent
@@ -22,13 +22,13 @@
 as in touch after 4 s."""
 
 
-def watch_connection(sock: socket.socket) -> None:
+def enable_keepalive(sock: socket.socket) -> None:
     """Have the kernel end a connection whose other end is gone or silent."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     for option, value in (
-        (socket.TCP_USER_TIMEOUT, USER_TIMEOUT),
-        (socket.TCP_KEEPIDLE, KEEPALIVE_IDLE),
-        (socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL),
+        (socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MILLISECONDS),
+        (socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_SECONDS),
+        (socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_SECONDS),
         (socket.TCP_KEEPCNT, KEEPALIVE_PROBES),
     ):
         sock.setsockopt(socket.IPPROTO_TCP, option, value)
--- a/shedsill/_limits.py
+++ b/shedsill/_limits.py
@@ -9,7 +9,7 @@
     """Tokens left, and the local time at which they were counted."""
 
     tokens: float
-    counted: float
+    updated_at: float
 
 
 class Rate(Struct, frozen=True, kw_only=True):
@@ -33,7 +33,7 @@
     """
     if bucket is None:
         bucket = Bucket(rate.burst, now)
-    elapsed = max(now - bucket.counted, 0.0)
+    elapsed = max(now - bucket.updated_at, 0.0)
     tokens = min(bucket.tokens + elapsed * rate.per_second, rate.burst)
     if tokens < 1.0:
         return Bucket(tokens, now), False
--- a/shedsill/coordination/backoff.py
+++ b/shedsill/coordination/backoff.py
@@ -12,16 +12,16 @@
 
 
 class Backoff(Struct, frozen=True, kw_only=True):
-    """Delays that double from `first` to `longest`, each jittered by half.
+    """Delays that double from `initial_delay` to `max_delay`, each jittered by half.
 
     Attributes
     ----------
-    first, longest : float
+    initial_delay, max_delay : float
         Seconds.
     """
 
-    first: float = 0.2
-    longest: float = 10.0
+    initial_delay: float = 0.2
+    max_delay: float = 10.0
 
 
 def get_delay(
@@ -31,17 +31,17 @@
 
     Examples
     --------
-    >>> 0.1 <= get_delay(Backoff(first=0.2), 1) <= 0.2
+    >>> 0.1 <= get_delay(Backoff(initial_delay=0.2), 1) <= 0.2
     True
-    >>> get_delay(Backoff(longest=5.0), 40) <= 5.0
+    >>> get_delay(Backoff(max_delay=5.0), 40) <= 5.0
     True
     """
     doublings = min(max(failures - 1, 0), 30)
-    ceiling = min(backoff.first * 2**doublings, backoff.longest)
-    jitter = generator.random() if generator else _draw()
+    ceiling = min(backoff.initial_delay * 2**doublings, backoff.max_delay)
+    jitter = generator.random() if generator else _draw_jitter()
     return ceiling * (0.5 + jitter / 2)
 
 
-def _draw() -> float:
+def _draw_jitter() -> float:
     """Return a number from 0 to 1, without the cost of importing `random`."""
     return os.getrandom(1)[0] / 255
--- a/shedsill/coordination/lease.py
+++ b/shedsill/coordination/lease.py
@@ -35,11 +35,11 @@
         Seconds without renewal after which others may take it.
     version, holder : int, str
         As last observed.
-    observed : float
+    observed_at : float
         Local time at which `version` was first seen.
     held_until : float
         Local time until which this node may act; 0 where it doesn't hold it.
-    next_call : float
+    next_call_at : float
         Local time of the next call.
     """
 
@@ -49,11 +49,11 @@
     time_to_live: float
     version: int = 0
     holder: str = ""
-    observed: float | None = None
-    known: bool = False
+    observed_at: float | None = None
+    version_known: bool = False
     held_until: float = 0.0
-    next_call: float = 0.0
-    asked_at: float = 0.0
+    next_call_at: float = 0.0
+    called_at: float = 0.0
 
 
 def is_held(lease: Lease, now: float) -> bool:
@@ -73,19 +73,19 @@
     >>> a = Lease(kind="lease", name="x", node="a", time_to_live=3.0)
     >>> for now in (0.0, 1.0):
     ...     a, call = plan_call(a, now)
-    ...     a = note_outcome(a, store.apply(call), now + 0.1)
+    ...     a = record_outcome(a, store.apply(call), now + 0.1)
     >>> is_held(a, 3.9), is_held(a, 4.1)
     (True, False)
     """
-    if now < lease.next_call:
+    if now < lease.next_call_at:
         return lease, None
     pause = lease.time_to_live / RENEWALS_PER_TERM
-    return evolve(lease, asked_at=now, next_call=now + pause), _make_call(lease, now)
+    return evolve(lease, called_at=now, next_call_at=now + pause), _build_call(lease, now)
 
 
-def _make_call(lease: Lease, now: float) -> Call:
-    lapsed = lease.observed is not None and now - lease.observed >= lease.time_to_live
-    if lease.known and (lapsed or lease.holder in ("", lease.node)):
+def _build_call(lease: Lease, now: float) -> Call:
+    lapsed = lease.observed_at is not None and now - lease.observed_at >= lease.time_to_live
+    if lease.version_known and (lapsed or lease.holder in ("", lease.node)):
         return Put(
             kind=lease.kind,
             name=lease.name,
@@ -95,7 +95,7 @@
     return Get(kind=lease.kind, name=lease.name)
 
 
-def note_outcome(lease: Lease, outcome: Outcome, now: float) -> Lease:
+def record_outcome(lease: Lease, outcome: Outcome, now: float) -> Lease:
     """Take in the outcome of the last call."""
     match outcome:
         case Stored(version=version):
@@ -103,30 +103,30 @@
                 lease,
                 version=version,
                 holder=lease.node,
-                observed=now,
-                known=True,
-                held_until=lease.asked_at + lease.time_to_live,
+                observed_at=now,
+                version_known=True,
+                held_until=lease.called_at + lease.time_to_live,
             )
         case Conflict(current=current):
-            return _observe(lease, current, now, ours=False)
+            return _record_version(lease, current, now, ours=False)
         case Found(object=current):
-            return _observe(lease, current, now, ours=True)
+            return _record_version(lease, current, now, ours=True)
         case _:
-            return evolve(lease, known=False)
+            return evolve(lease, version_known=False)
 
 
-def _observe(
+def _record_version(
     lease: Lease, current: StoredObject | None, now: float, *, ours: bool
 ) -> Lease:
     version = current.version if current else 0
     holder = str(current.value.get("holder", "")) if current else ""
-    changed = version != lease.version or lease.observed is None
+    changed = version != lease.version or lease.observed_at is None
     kept = ours and holder == lease.node
     return evolve(
         lease,
         version=version,
         holder=holder,
-        observed=now if changed else lease.observed,
-        known=True,
+        observed_at=now if changed else lease.observed_at,
+        version_known=True,
         held_until=lease.held_until if kept else 0.0,
     )
--- a/shedsill/coordination/membership.py
+++ b/shedsill/coordination/membership.py
@@ -15,8 +15,8 @@
 
 from shedsill._addresses import Address
 
-SILENT_AFTER = 5.0
-FORGET_AFTER = 60.0
+SILENT_AFTER_SECONDS = 5.0
+FORGET_AFTER_SECONDS = 60.0
 FAN_OUT = 3
 REPORTS_PER_HEARTBEAT = 8
 DRAWS_PER_PEER = 4
@@ -29,7 +29,7 @@
 
     Attributes
     ----------
-    beat : int
+    heartbeat_number : int
         Counts the heartbeats of one incarnation; the higher one is newer.
     """
 
@@ -37,7 +37,7 @@
     address: Address
     balancer: bool
     incarnation: int
-    beat: int
+    heartbeat_number: int
     generation: int
     leaving: bool = False
 
@@ -47,7 +47,7 @@
     """A report and the local time at which it was news."""
 
     report: NodeReport
-    heard: float
+    last_heard_at: float
 
 
 @frozen(kw_only=True)
@@ -59,26 +59,26 @@
     >>> address = Address("127.0.0.1", 7000)
     >>> report = NodeReport(
     ...     name="b1", address=address, balancer=True,
-    ...     incarnation=1, beat=4, generation=2,
+    ...     incarnation=1, heartbeat_number=4, generation=2,
     ... )
     >>> view = merge_reports(Membership(), (report,), now=10.0)
-    >>> [m.report.name for m in list_live(view, now=11.0)]
+    >>> [m.report.name for m in list_live_members(view, now=11.0)]
     ['b1']
-    >>> list_live(view, now=20.0)
+    >>> list_live_members(view, now=20.0)
     ()
     """
 
     members: immutables.Map[str, Member] = field(factory=immutables.Map)
 
 
-def is_news(report: NodeReport, known: NodeReport) -> bool:
+def is_newer(report: NodeReport, known: NodeReport) -> bool:
     """Whether a report is newer than the one known.
 
     Incarnations grow with each start of a node.
     """
     if report.incarnation != known.incarnation:
         return report.incarnation > known.incarnation
-    return report.beat > known.beat
+    return report.heartbeat_number > known.heartbeat_number
 
 
 def merge_reports(
@@ -93,29 +93,29 @@
     members = membership.members
     for report in reports:
         known = members.get(report.name)
-        silent = known is not None and now - known.heard >= SILENT_AFTER
+        silent = known is not None and now - known.last_heard_at >= SILENT_AFTER_SECONDS
         if known is None and len(members) >= MAX_MEMBERS:
             continue
         restarted = silent and report.incarnation != known.report.incarnation
-        if known is None or restarted or is_news(report, known.report):
-            members = members.set(report.name, Member(report=report, heard=now))
+        if known is None or restarted or is_newer(report, known.report):
+            members = members.set(report.name, Member(report=report, last_heard_at=now))
     if members is membership.members:
         return membership
     return Membership(members=members)
 
 
-def forget_silent(membership: Membership, now: float) -> Membership:
+def remove_silent_members(membership: Membership, now: float) -> Membership:
     """Drop members that have long been silent."""
     members = membership.members
     for name, member in membership.members.items():
-        if now - member.heard > FORGET_AFTER:
+        if now - member.last_heard_at > FORGET_AFTER_SECONDS:
             members = members.delete(name)
     return Membership(members=members)
 
 
-def list_live(membership: Membership, now: float) -> tuple[Member, ...]:
+def list_live_members(membership: Membership, now: float) -> tuple[Member, ...]:
     """Return the members heard of lately, by name."""
-    found = [m for m in membership.members.values() if now - m.heard < SILENT_AFTER]
+    found = [m for m in membership.members.values() if now - m.last_heard_at < SILENT_AFTER_SECONDS]
     return tuple(sorted(found, key=lambda m: m.report.name))
 
 
@@ -123,7 +123,7 @@
     membership: Membership, own: NodeReport, now: float, seed: int
 ) -> tuple[NodeReport, ...]:
     """Choose the reports that one heartbeat carries, the node's own first."""
-    live = [m.report for m in list_live(membership, now) if m.report.name != own.name]
+    live = [m.report for m in list_live_members(membership, now) if m.report.name != own.name]
     wanted = min(len(live), REPORTS_PER_HEARTBEAT - 1)
     return (own, *random.Random(seed).sample(live, wanted))
 
--- a/shedsill/coordination/spread.py
+++ b/shedsill/coordination/propagation.py
@@ -10,11 +10,11 @@
 
 from shedsill._addresses import Address
 
-PULL_TIMEOUT = 1.0
+PULL_TIMEOUT_SECONDS = 1.0
 
 
 @frozen(kw_only=True)
-class Spread:
+class Propagation:
     """What a node knows of the generation it should have.
 
     Attributes
@@ -36,32 +36,32 @@
     peer: Address
 
 
-def note_generation(
-    spread: Spread, generation: int, peer: Address, now: float
-) -> tuple[Spread, Pull | None]:
+def handle_generation(
+    propagation: Propagation, generation: int, peer: Address, now: float
+) -> tuple[Propagation, Pull | None]:
     """Take in a generation seen in a message; maybe pull.
 
     Examples
     --------
     >>> peer = Address("127.0.0.1", 7000)
-    >>> spread, pull = note_generation(Spread(generation=3), 4, peer, 10.0)
+    >>> propagation, pull = handle_generation(Propagation(generation=3), 4, peer, 10.0)
     >>> pull
     Pull(peer=Address(host='127.0.0.1', port=7000))
-    >>> note_generation(spread, 4, peer, 10.5)[1] is None
+    >>> handle_generation(propagation, 4, peer, 10.5)[1] is None
     True
     """
-    if generation <= spread.generation or now < spread.pulling_until:
-        return spread, None
-    return evolve(spread, pulling_until=now + PULL_TIMEOUT), Pull(peer=peer)
+    if generation <= propagation.generation or now < propagation.pulling_until:
+        return propagation, None
+    return evolve(propagation, pulling_until=now + PULL_TIMEOUT_SECONDS), Pull(peer=peer)
 
 
-def note_applied(spread: Spread, generation: int) -> Spread:
+def record_applied(propagation: Propagation, generation: int) -> Propagation:
     """Note a generation that is now in force; never goes back."""
-    if generation <= spread.generation:
-        return spread
-    return evolve(spread, generation=generation, pulling_until=0.0)
+    if generation <= propagation.generation:
+        return propagation
+    return evolve(propagation, generation=generation, pulling_until=0.0)
 
 
-def note_failure(spread: Spread) -> Spread:
+def record_pull_failure(propagation: Propagation) -> Propagation:
     """Note that a pull failed, so that the next message may start another."""
-    return evolve(spread, pulling_until=0.0)
+    return evolve(propagation, pulling_until=0.0)
--- a/shedsill/coordination/update.py
+++ b/shedsill/coordination/update.py
@@ -19,7 +19,7 @@
     Unavailable,
 )
 
-CHANGE_ID = "change_id"
+CHANGE_ID_KEY = "change_id"
 MAX_ATTEMPTS = 8
 
 
@@ -37,7 +37,7 @@
     change: Callable[[dict[str, Any]], dict[str, Any]],
     *,
     change_id: str,
-    attempts: int = MAX_ATTEMPTS,
+    max_attempts: int = MAX_ATTEMPTS,
 ) -> Outcome | Unchanged:
     """Read an object, change it and write it, until the write holds.
 
@@ -49,7 +49,7 @@
     change_id : str
         Unique to this update; stored with the value, so that a write whose
         answer was lost is recognised when read back.
-    attempts : int
+    max_attempts : int
         Most rounds before giving up with the last outcome.
 
     Returns
@@ -68,17 +68,17 @@
     """
     outcome: Outcome = Unavailable(reason="no attempt was allowed")
     uncertain = False
-    for _ in range(attempts):
+    for _ in range(max_attempts):
         read = await platform.call(Get(kind=kind, name=name))
         if not isinstance(read, Found):
             outcome = read
             continue
         current = read.object
-        if uncertain and _is_ours(current, change_id):
+        if uncertain and _has_change_id(current, change_id):
             return Stored(version=current.version)
         value = current.value if current else {}
-        wanted = {**change(dict(value)), CHANGE_ID: change_id}
-        if _strip(wanted) == _strip(value) and current is not None:
+        wanted = {**change(dict(value)), CHANGE_ID_KEY: change_id}
+        if _remove_change_id(wanted) == _remove_change_id(value) and current is not None:
             return Unchanged(version=current.version)
         version = current.version if current else 0
         outcome = await platform.call(
@@ -89,14 +89,14 @@
                 return outcome
             case Unavailable(perhaps_applied=perhaps):
                 uncertain = uncertain or perhaps
-            case Conflict(current=found) if uncertain and _is_ours(found, change_id):
+            case Conflict(current=found) if uncertain and _has_change_id(found, change_id):
                 return Stored(version=found.version)
     return outcome
 
 
-def _is_ours(current: StoredObject | None, change_id: str) -> bool:
-    return current is not None and current.value.get(CHANGE_ID) == change_id
+def _has_change_id(current: StoredObject | None, change_id: str) -> bool:
+    return current is not None and current.value.get(CHANGE_ID_KEY) == change_id
 
 
-def _strip(value: dict[str, Any]) -> dict[str, Any]:
-    return {key: item for key, item in value.items() if key != CHANGE_ID}
+def _remove_change_id(value: dict[str, Any]) -> dict[str, Any]:
+    return {key: item for key, item in value.items() if key != CHANGE_ID_KEY}
--- a/shedsill/coordination/watch.py
+++ b/shedsill/coordination/watch.py
@@ -15,12 +15,12 @@
     Watch,
 )
 
-DEFAULT_PATIENCE = 10.0
+DEFAULT_WATCH_TIMEOUT_SECONDS = 10.0
 
 
-def get_default_patience() -> float:
+def get_default_timeout() -> float:
     """Return the seconds for which a watch waits where nobody says otherwise."""
-    return DEFAULT_PATIENCE
+    return DEFAULT_WATCH_TIMEOUT_SECONDS
 
 
 async def watch_kinds(
@@ -28,7 +28,7 @@
     kinds: tuple[str, ...],
     *,
     sleep: Callable[[float], Awaitable[None]],
-    patience: float = DEFAULT_PATIENCE,
+    timeout: float = DEFAULT_WATCH_TIMEOUT_SECONDS,
     backoff: Backoff | None = None,
 ) -> AsyncIterator[Listing]:
     """Yield a listing at first and after each change.
@@ -62,7 +62,7 @@
             revision = listing.revision
             yield listing
         changed = await platform.call(
-            Watch(kinds=kinds, revision=revision, patience=patience)
+            Watch(kinds=kinds, revision=revision, patience=timeout)
         )
         if not isinstance(changed, Changed):
             failures += 1
@@ -74,8 +74,8 @@
     kind: str,
     *,
     sleep: Callable[[float], Awaitable[None]],
-    patience: Callable[[], float] = get_default_patience,
-    rest: Callable[[], Awaitable[float | None]] | None = None,
+    get_timeout: Callable[[], float] = get_default_timeout,
+    delay_next_watch: Callable[[], Awaitable[float | None]] | None = None,
     backoff: Backoff | None = None,
 ) -> AsyncIterator[Listing | Changed | Unavailable]:
     """Yield a listing at first and then only what has changed since.
@@ -86,11 +86,11 @@
 
     Parameters
     ----------
-    patience : callable
+    get_timeout : callable
         Returns the seconds for which the next watch waits.
-    rest : callable
+    delay_next_watch : callable
         Awaited after a listing or a change, so that changes that come close together
-        are fetched in one call.  Returns the patience of the next watch where the
+        are fetched in one call.  Returns the timeout of the next watch where the
         caller only wants what has changed so far, and None otherwise.
 
     Examples
@@ -117,7 +117,7 @@
                 Watch(
                     kinds=(kind,),
                     revision=revision,
-                    patience=short_patience or patience(),
+                    patience=short_patience or get_timeout(),
                 )
             )
         was_short = short_patience is not None
@@ -128,8 +128,8 @@
                 revision = outcome.revision
                 yield outcome
                 is_news = isinstance(outcome, Listing) or outcome.names
-                if rest is not None and (is_news or was_short):
-                    short_patience = await rest()
+                if delay_next_watch is not None and (is_news or was_short):
+                    short_patience = await delay_next_watch()
             case HistoryGone():
                 revision = None
             case Unavailable():
--- a/shedsill/datagram/_agent.py
+++ b/shedsill/datagram/_agent.py
@@ -11,7 +11,7 @@
 from msgspec.structs import replace
 
 from shedsill._catalogue import LogEvent
-from shedsill._shared_effects import Exit, Note
+from shedsill._common_effects import Exit, WriteLog
 from shedsill.datagram import _slots
 from shedsill.datagram._agent_state import (
     NEWS_LIMIT,
@@ -159,7 +159,7 @@
         return []
     state.stop_at = event.now + state.stop_limit
     state.report = replace(state.report, stopping=True)
-    note = Note(event=LogEvent.NODE_STOPPING, fields={"flows": len(state.flows)})
+    note = WriteLog(event=LogEvent.NODE_STOPPING, fields={"flows": len(state.flows)})
     if not state.report.boot:
         return [note]
     return [note, *publish(state, event.now)]
@@ -170,4 +170,4 @@
         return []
     if state.busy and now < state.stop_at:
         return []
-    return [Note(event=LogEvent.NODE_STOPPED, fields={"busy": state.busy}), Exit()]
+    return [WriteLog(event=LogEvent.NODE_STOPPED, fields={"busy": state.busy}), Exit()]
--- a/shedsill/datagram/_agent_packets.py
+++ b/shedsill/datagram/_agent_packets.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from shedsill._catalogue import LogEvent
-from shedsill._shared_effects import Note
+from shedsill._common_effects import WriteLog
 from shedsill.datagram import _slots
 from shedsill.datagram._agent_state import (
     AgentFlow,
@@ -156,7 +156,7 @@
     fields = {"flow": packet.flow, "balancer": flow.balancer, "busy": state.busy}
     return [
         SendMessage(flow.balancer, taken),
-        Note(event=LogEvent.FLOW_TAKEN, fields=fields),
+        WriteLog(event=LogEvent.FLOW_TAKEN, fields=fields),
     ]
 
 
@@ -191,7 +191,7 @@
     """Tell a balancer that the upstream holds the flow that it asked for."""
     balancer = state.tried.pop(key, "")
     fields = {"flow": key, "balancer": balancer, "boot": state.report.boot}
-    note = Note(event=LogEvent.FLOW_RELEARNED, fields=fields)
+    note = WriteLog(event=LogEvent.FLOW_RELEARNED, fields=fields)
     if not balancer:
         return [note]
     located = Located(
@@ -221,7 +221,7 @@
     opening = is_opening(packet)
     if flow is not None and not opening and _was_held(flow):
         fields = {"flows": 1, "reason": "bounced", "boot": state.report.boot}
-        note = Note(event=LogEvent.FLOWS_FREED, fields=fields)
+        note = WriteLog(event=LogEvent.FLOWS_FREED, fields=fields)
         return [*effects, ResetFlow(packet.flow, flow.caller_ack), note]
     if opening:
         state.refusing_until = now + REFUSAL_PAUSE
--- a/shedsill/datagram/_agent_state.py
+++ b/shedsill/datagram/_agent_state.py
@@ -8,7 +8,7 @@
 from msgspec.structs import replace
 
 from shedsill._catalogue import LogEvent
-from shedsill._shared_effects import Note
+from shedsill._common_effects import WriteLog
 from shedsill.datagram._backlog import Backlog
 from shedsill.datagram._effects import Effect, SendMessage, StoreReport
 from shedsill.datagram._health import Health, get_avoided
@@ -237,7 +237,7 @@
     }
     return [
         SendMessage(balancer, message),
-        Note(event=LogEvent.PACKET_HANDED_BACK, fields=fields),
+        WriteLog(event=LogEvent.PACKET_HANDED_BACK, fields=fields),
     ]
 
 
@@ -264,7 +264,7 @@
         "stopping": report.stopping,
         "serial": report.serial,
     }
-    effects: list[Effect] = [Note(event=LogEvent.UPSTREAM_CHANGED, fields=fields)]
+    effects: list[Effect] = [WriteLog(event=LogEvent.UPSTREAM_CHANGED, fields=fields)]
     effects += announce(state, now)
     if report.state != UpstreamState.GONE:
         effects.append(StoreReport(report))
--- a/shedsill/datagram/_balancer.py
+++ b/shedsill/datagram/_balancer.py
@@ -9,7 +9,7 @@
 from msgspec.structs import replace
 
 from shedsill._catalogue import LogEvent
-from shedsill._shared_effects import Exit, Note
+from shedsill._common_effects import Exit, WriteLog
 from shedsill.datagram import _checkpointing, _locating, _nodes, _openings, _roster
 from shedsill.datagram._balancer_state import BalancerState, forward
 from shedsill.datagram._effects import (
@@ -105,12 +105,12 @@
     fields = {"flow": packet.flow, "table": state.table.version}
     if state.ahead and not is_opening(packet):
         # The newer table may have the route; the caller sends again in 0.2 s.
-        return [Note(event=LogEvent.TABLE_AWAITED, fields=fields)]
+        return [WriteLog(event=LogEvent.TABLE_AWAITED, fields=fields)]
     state.flows.pop(packet.flow, None)
     state.placing.pop(packet.flow, None)
     return [
         ResetFlow(packet.flow, packet.ack),
-        Note(event=LogEvent.FLOW_UNROUTED, fields=fields),
+        WriteLog(event=LogEvent.FLOW_UNROUTED, fields=fields),
     ]
 
 
@@ -207,7 +207,7 @@
         "upstream": source,
         "reason": returned.reason.value,
     }
-    note = Note(event=LogEvent.PACKET_RETURNED, fields=fields)
+    note = WriteLog(event=LogEvent.PACKET_RETURNED, fields=fields)
     reason = returned.reason
     return [note, *_openings.offer_elsewhere(state, packet, source, reason, now)]
 
@@ -228,7 +228,7 @@
         "upstream": source,
         "reason": denied.reason.value,
     }
-    note = Note(event=LogEvent.FLOW_DENIED, fields=fields)
+    note = WriteLog(event=LogEvent.FLOW_DENIED, fields=fields)
     del state.flows[denied.flow]
     state.placing.pop(denied.flow, None)
     ack = flow.caller_ack
@@ -250,7 +250,7 @@
     state.report = replace(
         state.report, version=event.table.version, serial=state.report.serial + 1
     )
-    note = Note(event=LogEvent.TABLE_APPLIED, fields=fields)
+    note = WriteLog(event=LogEvent.TABLE_APPLIED, fields=fields)
     announcement = Announcement(report=state.report)
     hosts = state.nodes.balancers
     return [note, *(SendMessage(host, announcement) for host in hosts)]
@@ -327,7 +327,7 @@
     state.report = replace(state.report, stopping=True, serial=state.report.serial + 1)
     announcement = Announcement(report=state.report)
     return [
-        Note(event=LogEvent.NODE_STOPPING, fields={"flows": len(state.flows)}),
+        WriteLog(event=LogEvent.NODE_STOPPING, fields={"flows": len(state.flows)}),
         *(SendMessage(host, announcement) for host in state.nodes.balancers),
         RemoveReport(state.report),
     ]
@@ -339,4 +339,4 @@
     quiet = now - state.last_packet >= STOP_QUIET
     if not quiet and now < state.stop_at:
         return []
-    return [Note(event=LogEvent.NODE_STOPPED), Exit()]
+    return [WriteLog(event=LogEvent.NODE_STOPPED), Exit()]
--- a/shedsill/datagram/_balancer_state.py
+++ b/shedsill/datagram/_balancer_state.py
@@ -5,7 +5,7 @@
 from msgspec import Struct, field
 
 from shedsill._catalogue import LogEvent
-from shedsill._shared_effects import Note
+from shedsill._common_effects import WriteLog
 from shedsill.datagram._checkpoints import Checkpoints
 from shedsill.datagram._effects import Effect, ForwardPacket, ResetFlow
 from shedsill.datagram._forwarding import ForwardingTable
@@ -144,7 +144,7 @@
             effects.append(ResetFlow(key, flow.caller_ack))
     if keys:
         fields = {"upstream": host, "flows": len(keys), "reason": reason}
-        effects.append(Note(event=LogEvent.FLOWS_FREED, fields=fields))
+        effects.append(WriteLog(event=LogEvent.FLOWS_FREED, fields=fields))
     return effects
 
 
--- a/shedsill/datagram/_checkpointing.py
+++ b/shedsill/datagram/_checkpointing.py
@@ -15,7 +15,7 @@
 from __future__ import annotations
 
 from shedsill._catalogue import LogEvent
-from shedsill._shared_effects import Note
+from shedsill._common_effects import WriteLog
 from shedsill.datagram import _locating
 from shedsill.datagram._balancer_state import BalancerFlow, BalancerState
 from shedsill.datagram._checkpoints import Checkpoints, Part
@@ -211,7 +211,7 @@
         if _restore(state, flow, event.now)
     ]
     fields = {"flows": len(restored), "age": round(event.age, 1)}
-    return [Note(event=LogEvent.CHECKPOINT_READ, fields=fields)]
+    return [WriteLog(event=LogEvent.CHECKPOINT_READ, fields=fields)]
 
 
 def _restore(state: BalancerState, kept: OpenFlow, now: float) -> bool:
--- a/shedsill/datagram/_effects.py
+++ b/shedsill/datagram/_effects.py
@@ -4,7 +4,7 @@
 
 from msgspec import Struct
 
-from shedsill._shared_effects import Exit, Note
+from shedsill._common_effects import Exit, WriteLog
 from shedsill.datagram._forwarding import Route
 from shedsill.datagram._messages import Message, NodeReport, OpenFlow
 from shedsill.datagram._packet import Packet
@@ -135,6 +135,6 @@
     | CheckUpstream
     | PullTable
     | ObserveLatency
-    | Note
+    | WriteLog
     | Exit
 )
--- a/shedsill/datagram/_locating.py
+++ b/shedsill/datagram/_locating.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable
 
 from shedsill._catalogue import LogEvent
-from shedsill._shared_effects import Note
+from shedsill._common_effects import WriteLog
 from shedsill.datagram import _nodes, _reading, _searches
 from shedsill.datagram._balancer_state import (
     BalancerFlow,
@@ -39,7 +39,7 @@
     search = state.searches.get(packet.flow)
     if search is None:
         if len(state.searches) >= _searches.MAX_SEARCHES:
-            return [Note(event=LogEvent.SEARCH_DROPPED, fields={"flow": packet.flow})]
+            return [WriteLog(event=LogEvent.SEARCH_DROPPED, fields={"flow": packet.flow})]
         search = _begin(state, packet.flow, packet.ack, now)
         search.packets.append(packet)
         return []
@@ -180,7 +180,7 @@
         "after": round(now - search.begun, 3),
         "tried": search.tried,
     }
-    effects: list[Effect] = [Note(event=LogEvent.FLOW_FOUND, fields=fields)]
+    effects: list[Effect] = [WriteLog(event=LogEvent.FLOW_FOUND, fields=fields)]
     for packet in search.packets:
         known.caller_ack = packet.ack
         effects.append(forward(state, host, known.service, packet))
@@ -214,7 +214,7 @@
     }
     return [
         ResetFlow(flow, search.caller_ack),
-        Note(event=LogEvent.FLOW_ORPHANED, fields=fields),
+        WriteLog(event=LogEvent.FLOW_ORPHANED, fields=fields),
     ]
 
 
@@ -311,7 +311,7 @@
                 "silent": sorted(search.waiting)[:4],
                 "known": len(state.nodes.upstreams),
             }
-            effects.append(Note(event=LogEvent.SEARCH_ENDED, fields=fields))
+            effects.append(WriteLog(event=LogEvent.SEARCH_ENDED, fields=fields))
         elif _searches.is_due(search, now):
             effects += _ask_again(state, key, search, now)
     return effects + send_questions(state)
--- a/shedsill/datagram/_openings.py
+++ b/shedsill/datagram/_openings.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from shedsill._catalogue import LogEvent
-from shedsill._shared_effects import Note
+from shedsill._common_effects import WriteLog
 from shedsill.datagram import _nodes, _reading
 from shedsill.datagram._balancer_state import (
     BalancerFlow,
@@ -80,7 +80,7 @@
     }
     return [
         forward(state, view.report.host, flow.service, packet),
-        Note(event=LogEvent.FLOW_OFFERED, fields=fields),
+        WriteLog(event=LogEvent.FLOW_OFFERED, fields=fields),
     ]
 
 
@@ -101,15 +101,15 @@
         "overloaded": flow.overloaded,
     }
     if flow.offered or not known:
-        return [Note(event=LogEvent.NO_CANDIDATE, fields=fields)]
+        return [WriteLog(event=LogEvent.NO_CANDIDATE, fields=fields)]
     if not _reading.is_recent(state.reading, state.last_tick):
         wanted = _reading.want(state.reading, state.last_tick)
-        return [Note(event=LogEvent.NO_CANDIDATE, fields=fields), *wanted]
+        return [WriteLog(event=LogEvent.NO_CANDIDATE, fields=fields), *wanted]
     state.flows.pop(packet.flow, None)
     state.placing.pop(packet.flow, None)
     return [
         ResetFlow(packet.flow, packet.ack),
-        Note(event=LogEvent.FLOW_REFUSED, fields=fields),
+        WriteLog(event=LogEvent.FLOW_REFUSED, fields=fields),
     ]
 
 
--- a/shedsill/datagram/_reducer.py
+++ b/shedsill/datagram/_reducer.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from shedsill._catalogue import LogEvent
-from shedsill._shared_effects import Note
+from shedsill._common_effects import WriteLog
 from shedsill.datagram import (
     _agent,
     _agent_packets,
@@ -80,7 +80,7 @@
         "flow_lifetime": event.flow_lifetime,
         "stop_limit": event.stop_limit,
     }
-    return [Note(event=LogEvent.SETTINGS_READ, fields=fields)]
+    return [WriteLog(event=LogEvent.SETTINGS_READ, fields=fields)]
 
 
 def _reduce_balancer(
--- a/shedsill/datagram/_roster.py
+++ b/shedsill/datagram/_roster.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 
 from shedsill._catalogue import LogEvent
-from shedsill._shared_effects import Note
+from shedsill._common_effects import WriteLog
 from shedsill.datagram import _checkpointing, _locating, _nodes, _reading
 from shedsill.datagram._balancer_state import BalancerState, reset_flows
 from shedsill.datagram._effects import (
@@ -154,7 +154,7 @@
         "stopping": report.stopping,
         "serial": report.serial,
     }
-    effects: list[Effect] = [Note(event=LogEvent.UPSTREAM_CHANGED, fields=fields)]
+    effects: list[Effect] = [WriteLog(event=LogEvent.UPSTREAM_CHANGED, fields=fields)]
     if before is None:
         _locating.add_host(state, report.host)
     return effects
@@ -323,7 +323,7 @@
     if not silent:
         return []
     fields = {"upstream": host, "questions": before.questions, "silent": silent}
-    return [Note(event=LogEvent.SILENCE_RESTARTED, fields=fields)]
+    return [WriteLog(event=LogEvent.SILENCE_RESTARTED, fields=fields)]
 
 
 def _note_isolation(state: BalancerState, now: float) -> list[Effect]:
@@ -335,7 +335,7 @@
     state.isolated = isolated
     silent = sum(view.silent_since is not None for view in views)
     fields = {"isolated": isolated, "silent": silent, "known": len(views)}
-    return [Note(event=LogEvent.BALANCER_ISOLATED, fields=fields)]
+    return [WriteLog(event=LogEvent.BALANCER_ISOLATED, fields=fields)]
 
 
 def _give_up_agent(
@@ -354,5 +354,5 @@
     }
     view.lost = True
     view.lost_at = now
-    note = Note(event=LogEvent.UPSTREAM_LOST, fields=fields)
+    note = WriteLog(event=LogEvent.UPSTREAM_LOST, fields=fields)
     return [note, *_drop_agent(state, host, "agent is silent")]
--- a/shedsill/datagram/_runtime/agent.py
+++ b/shedsill/datagram/_runtime/agent.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from shedsill._catalogue import LogEvent
-from shedsill._shared_effects import Note
+from shedsill._common_effects import WriteLog
 from shedsill.coordination.platform import Platform
 from shedsill.datagram import _agent
 from shedsill.datagram._agent_state import AgentState, takes_flows
@@ -29,7 +29,7 @@
     HTTP_NOT_FOUND,
     HTTP_OK,
     Node,
-    draw_incarnation,
+    generate_incarnation,
 )
 from shedsill.datagram.adapter import (
     HeartbeatCodec,
@@ -41,7 +41,7 @@
 
 HTTP_BAD_REQUEST = 400
 HTTP_CONFLICT = 409
-CHECK_TIMEOUT = 0.5
+CHECK_TIMEOUT_SECONDS = 0.5
 """Seconds in which the port of a living upstream on the same VM takes a
 connection; it is local, and a VM out of quota stands still for 0.1 s."""
 
@@ -66,22 +66,22 @@
         )
         assert settings.upstream is not None
         assert settings.outbound is not None
-        self._heartbeats = heartbeats
+        self._heartbeat_codec = heartbeats
         self._upstream = settings.upstream
-        self._packets = self.sockets.open(settings.packets, self._take_forwarded)
-        self._outbound = self.sockets.open(settings.outbound, self._take_upstream)
+        self._packet_socket = self.sockets.open(settings.packets, self._receive_forwarded)
+        self._outbound_socket = self.sockets.open(settings.outbound, self._receive_upstream)
 
-    def begin(self) -> None:
+    def start_role(self) -> None:
         """Make the agent known and take heartbeats."""
         _agent.start(self.state, self.now)
-        self.run_beside(self.reports.read_earlier(self.settings.host))
+        self.run_in_background(self.reports.read_earlier_report(self.settings.host))
         if self.settings.heartbeats is not None:
-            self.run_beside(
-                self.serve(self.settings.heartbeats, self._answer_heartbeat)
+            self.run_in_background(
+                self.serve(self.settings.heartbeats, self._handle_heartbeat_call)
             )
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether the upstream takes new flows."""
         return takes_flows(self.state)
 
@@ -94,23 +94,23 @@
             f"shedsill_busy {self.state.busy}",
         ]
 
-    def carry_out(self, effect: Effect) -> None:
+    def execute(self, effect: Effect) -> None:
         """Carry out an effect."""
         match effect:
             case SendToUpstream(packet=packet, balancer=balancer):
                 data = self.codec.encode_for_upstream(packet, balancer)
-                self.sockets.send(self._packets, data, self._upstream.pair)
+                self.sockets.send(self._packet_socket, data, self._upstream.pair)
             case SendToCaller(packet=packet):
                 self.send_to_caller(packet.flow, packet.data)
             case CheckUpstream():
-                self.run_beside(self._check_upstream())
+                self.run_in_background(self._check_upstream())
             case _:
-                super().carry_out(effect)
+                super().execute(effect)
 
-    def _take_forwarded(self, data: bytes, source: str) -> None:
+    def _receive_forwarded(self, data: bytes, source: str) -> None:
         decoded = self.codec.decode_forwarded(data)
         if decoded is None:
-            self.note_malformed(source, data)
+            self.log_malformed_packet(source, data)
             return
         packet, service = decoded
         self.dispatch(
@@ -119,19 +119,19 @@
             )
         )
 
-    def _take_upstream(self, data: bytes, source: str) -> None:
+    def _receive_upstream(self, data: bytes, source: str) -> None:
         packet = self.codec.decode_upstream(data)
         if packet is None:
-            self.note_malformed(source, data)
+            self.log_malformed_packet(source, data)
             return
         self.dispatch(UpstreamPacket(packet=packet, now=self.now))
 
-    def _answer_heartbeat(self, method: str, path: str, body: bytes) -> Response:
+    def _handle_heartbeat_call(self, method: str, path: str, body: bytes) -> Response:
         try:
-            call = self._heartbeats.decode_call(method, path, body, self.now)
+            call = self._heartbeat_codec.decode_call(method, path, body, self.now)
         except DecodeError as error:
             fields = {"method": method, "path": path, "error": str(error)}
-            self.write_note(Note(event=LogEvent.CALL_REFUSED, fields=fields))
+            self.write_log(WriteLog(event=LogEvent.CALL_REFUSED, fields=fields))
             return Response(status=HTTP_BAD_REQUEST, body=b"{}")
         match call:
             case Heartbeat():
@@ -148,7 +148,7 @@
     async def _check_upstream(self) -> None:
         opened = refused = False
         try:
-            async with asyncio.timeout(CHECK_TIMEOUT):
+            async with asyncio.timeout(CHECK_TIMEOUT_SECONDS):
                 _reader, writer = await asyncio.open_connection(*self._upstream.pair)
             opened = True
             writer.transport.abort()
@@ -156,11 +156,11 @@
             refused = True
         except (TimeoutError, OSError) as error:
             fields = {"upstream": str(self._upstream), "error": repr(error)}
-            self.write_note(Note(event=LogEvent.UPSTREAM_UNREACHED, fields=fields))
+            self.write_log(WriteLog(event=LogEvent.UPSTREAM_UNREACHED, fields=fields))
         self.dispatch(UpstreamChecked(open=opened, refused=refused, now=self.now))
 
 
-def make_agent(
+def create_agent(
     settings: NodeSettings,
     *,
     source: SettingsSource,
@@ -174,7 +174,7 @@
             host=settings.host,
             role=settings.role,
             zone=settings.zone,
-            incarnation=draw_incarnation(),
+            incarnation=generate_incarnation(),
             service=settings.service,
         ),
         seeds=settings.seeds,
--- a/shedsill/datagram/_runtime/balancer.py
+++ b/shedsill/datagram/_runtime/balancer.py
@@ -6,7 +6,7 @@
 
 from shedsill._addresses import Address
 from shedsill._catalogue import LogEvent
-from shedsill._shared_effects import Note
+from shedsill._common_effects import WriteLog
 from shedsill.coordination.backoff import Backoff
 from shedsill.coordination.platform import (
     Changed,
@@ -44,10 +44,10 @@
     HTTP_OK,
     HTTP_UNAVAILABLE,
     Node,
-    draw_incarnation,
+    generate_incarnation,
 )
 from shedsill.datagram._runtime.reports import REPORT_KIND
-from shedsill.datagram._runtime.tables import ServedTable, unpack_table
+from shedsill.datagram._runtime.tables import ServedTable, decompress_table
 from shedsill.datagram.adapter import (
     NodeSettings,
     PacketCodec,
@@ -59,21 +59,21 @@
 TABLE_PATH = "/table/deflate"
 """Where balancers read the table from each other; see `_runtime.tables`."""
 
-PULL_TIMEOUT = 1.0
+PULL_TIMEOUT_SECONDS = 1.0
 """Seconds for reading the table from another balancer."""
 
-WATCH_PATIENCE = 25.0
+WATCH_TIMEOUT_SECONDS = 25.0
 """Seconds for which a watch waits; each one is a call that is paid for."""
 
-COLLECTOR_PATIENCE = 2.0
+COLLECTOR_WATCH_TIMEOUT_SECONDS = 2.0
 """The same at the collector, which tells the others what it reads.  A store that keeps
 a connection open and never answers is noticed after this time and the margin of a
 watch, in time for a VM that must be in touch 4 s after trouble."""
 
-READ_PATIENCE = 0.02
+SHORT_WATCH_TIMEOUT_SECONDS = 0.02
 """Seconds for which a watch waits that is only to tell what has changed so far."""
 
-RETRY = Backoff(first=0.1, longest=1.0)
+RETRY_BACKOFF = Backoff(initial_delay=0.1, max_delay=1.0)
 """Delays between tries while the store is away; a change of the table has to be
 in force within 3 s of the store's return."""
 
@@ -97,30 +97,30 @@
             state, settings=settings, source=source, codec=codec, platform=platform
         )
         self._table_source = table
-        self._served = ServedTable()
-        self._pulling = False
-        self._reports_wanted = asyncio.Event()
-        self._resting = False
+        self._served_table = ServedTable()
+        self._pulling_table = False
+        self._reports_requested = asyncio.Event()
+        self._waiting_between_watches = False
         self._checkpoints = CheckpointStore(
-            self.platform, write_note=self.write_note, take=self._take_checkpoint
+            self.platform, write_log=self.write_log, handle_checkpoint=self._handle_checkpoint
         )
-        self._packets = self.sockets.open(settings.packets, self._take_packet)
+        self._packet_socket = self.sockets.open(settings.packets, self._receive_packet)
 
-    def begin(self) -> None:
+    def start_role(self) -> None:
         """Start watching the store."""
         for effect in _balancer.start(self.state, self.now):
-            self.carry_out(effect)
-        self.run_beside(self._watch_table())
-        self.run_beside(self._watch_reports())
-        self.run_beside(self._serve_peers())
+            self.execute(effect)
+        self.run_in_background(self._watch_table())
+        self.run_in_background(self._watch_reports())
+        self.run_in_background(self._serve_peers())
 
     async def _serve_peers(self) -> None:
-        await self.serve(self.settings.messages, self._answer_peer)
+        await self.serve(self.settings.messages, self._handle_peer_request)
         if self.settings.heartbeats is not None:
-            await self.serve(self.settings.heartbeats, self._answer_peer)
+            await self.serve(self.settings.heartbeats, self._handle_peer_request)
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether routers should send packets here."""
         return self.state.ready
 
@@ -135,41 +135,41 @@
             f"shedsill_table_version {self.state.table.version}",
         ]
 
-    def carry_out(self, effect: Effect) -> None:
+    def execute(self, effect: Effect) -> None:
         """Carry out an effect."""
         match effect:
             case ForwardPacket(host=host, packet=packet, service=service, route=route):
                 data = self.codec.encode_forwarded(packet, service, route)
-                self.sockets.send(self._packets, data, (host, self.settings.agent_port))
+                self.sockets.send(self._packet_socket, data, (host, self.settings.agent_port))
             case PullTable(host=host):
-                if not self._pulling:
-                    self._pulling = True
-                    self.run_beside(self._pull_table(host))
+                if not self._pulling_table:
+                    self._pulling_table = True
+                    self.run_in_background(self._pull_table(host))
             case ForgetReport(report=report):
-                self.run_beside(self._forget_report(report))
+                self.run_in_background(self._delete_report(report))
             case StoreCheckpoint(parts=parts):
-                self.run_beside(self._checkpoints.write(parts))
+                self.run_in_background(self._checkpoints.write(parts))
             case ReadCheckpoint():
-                self.run_beside(self._checkpoints.read())
+                self.run_in_background(self._checkpoints.read())
             case ReadReports():
-                self._hurry_reports()
+                self._request_reports()
             case _:
-                super().carry_out(effect)
+                super().execute(effect)
 
-    def _take_packet(self, data: bytes, source: str) -> None:
+    def _receive_packet(self, data: bytes, source: str) -> None:
         packet = self.codec.decode_caller(data)
         if packet is None:
-            self.note_malformed(source, data)
+            self.log_malformed_packet(source, data)
             return
         self.dispatch(CallerPacket(packet=packet, now=self.now))
 
-    def _take_checkpoint(
+    def _handle_checkpoint(
         self, parts: dict[str, list[OpenFlow]], age: float, at_start: bool
     ) -> None:
         event = CheckpointRead(parts=parts, age=age, at_start=at_start, now=self.now)
         self.dispatch(event)
 
-    async def _forget_report(self, report: NodeReport) -> None:
+    async def _delete_report(self, report: NodeReport) -> None:
         """Remove a report unless its node has written another one since."""
         found = await self.platform.call(Get(kind=REPORT_KIND, name=report.host))
         match found:
@@ -181,7 +181,7 @@
                     )
                     await self.platform.call(delete)
             case Unavailable():
-                self.note_platform(found)
+                self.update_platform_status(found)
 
     # The forwarding table
 
@@ -190,58 +190,58 @@
             self.platform,
             self._table_source.kind,
             sleep=asyncio.sleep,
-            patience=self._get_patience,
-            backoff=RETRY,
+            get_timeout=self._choose_watch_timeout,
+            backoff=RETRY_BACKOFF,
         )
         async for outcome in changes:
             if isinstance(outcome, Unavailable):
-                self.note_platform(outcome)
+                self.update_platform_status(outcome)
                 continue
-            self.note_platform(None)
+            self.update_platform_status(None)
             for item in outcome.objects:
                 if item.name == self._table_source.name:
-                    self._offer_table(item.value, "store")
+                    self._handle_table(item.value, "store")
 
-    def _offer_table(self, value: object, source: str) -> None:
+    def _handle_table(self, value: object, source: str) -> None:
         try:
             table = self._table_source.decode(value)
         except DecodeError as error:
             fields = {"source": source, "error": str(error)}
-            self.write_note(Note(event=LogEvent.TABLE_REJECTED, fields=fields))
+            self.write_log(WriteLog(event=LogEvent.TABLE_REJECTED, fields=fields))
             return
         if table.version > self.state.table.version:
-            self._served.put(value)
+            self._served_table.replace(value)
         self.dispatch(TableOffered(table=table, source=source, now=self.now))
 
-    def _answer_peer(self, method: str, path: str, body: bytes) -> Response:
-        if path != TABLE_PATH or self._served.is_empty:
+    def _handle_peer_request(self, method: str, path: str, body: bytes) -> Response:
+        if path != TABLE_PATH or self._served_table.is_empty:
             return Response(status=HTTP_NOT_FOUND, body=b"{}")
-        content = self._served.take(self.now)
+        content = self._served_table.get_for_sending(self.now)
         if content is None:
             return Response(status=HTTP_UNAVAILABLE, body=b"{}")
         fields = {"version": self.state.table.version, "octets": len(content)}
-        self.write_note(Note(event=LogEvent.TABLE_SENT, fields=fields))
+        self.write_log(WriteLog(event=LogEvent.TABLE_SENT, fields=fields))
         return Response(status=HTTP_OK, body=content)
 
     async def _pull_table(self, host: str) -> None:
         client = HttpClient(Address(host, self.settings.messages.port))
         try:
             response = await client.request(
-                "GET", TABLE_PATH, None, timeout=PULL_TIMEOUT
+                "GET", TABLE_PATH, None, timeout=PULL_TIMEOUT_SECONDS
             )
             if response.status == HTTP_OK:
-                self._offer_table(unpack_table(response.body), host)
+                self._handle_table(decompress_table(response.body), host)
             else:
-                self._note_not_read(host, f"status {response.status}")
+                self._log_pull_failure(host, f"status {response.status}")
         except (TimeoutError, OSError, DecodeError) as error:
-            self._note_not_read(host, repr(error))
+            self._log_pull_failure(host, repr(error))
         finally:
-            self._pulling = False
+            self._pulling_table = False
             client.close()
 
-    def _note_not_read(self, host: str, reason: str) -> None:
+    def _log_pull_failure(self, host: str, reason: str) -> None:
         fields = {"source": host, "reason": reason}
-        self.write_note(Note(event=LogEvent.TABLE_NOT_READ, fields=fields))
+        self.write_log(WriteLog(event=LogEvent.TABLE_NOT_READ, fields=fields))
 
     # Reports of nodes
 
@@ -250,59 +250,59 @@
             self.platform,
             REPORT_KIND,
             sleep=asyncio.sleep,
-            patience=self._get_patience,
-            rest=self._rest_between_reports,
-            backoff=RETRY,
+            get_timeout=self._choose_watch_timeout,
+            delay_next_watch=self._wait_between_watches,
+            backoff=RETRY_BACKOFF,
         )
         async for outcome in changes:
             match outcome:
                 case Unavailable():
-                    self.note_platform(outcome)
+                    self.update_platform_status(outcome)
                 case Listing(objects=objects):
-                    self.note_platform(None)
-                    self._take_reports(objects, (), whole=True)
+                    self.update_platform_status(None)
+                    self._handle_reports(objects, (), complete=True)
                 case Changed(objects=objects, deleted=deleted):
-                    self.note_platform(None)
-                    self._take_reports(objects, deleted, whole=False)
+                    self.update_platform_status(None)
+                    self._handle_reports(objects, deleted, complete=False)
 
-    def _get_patience(self) -> float:
+    def _choose_watch_timeout(self) -> float:
         is_collector = self.state.checkpoints.collector == self.settings.host
-        return COLLECTOR_PATIENCE if is_collector else WATCH_PATIENCE
+        return COLLECTOR_WATCH_TIMEOUT_SECONDS if is_collector else WATCH_TIMEOUT_SECONDS
 
-    async def _rest_between_reports(self) -> float | None:
+    async def _wait_between_watches(self) -> float | None:
         """Wait until the next watch is due or reports are wanted at once."""
-        self._reports_wanted.clear()
-        self._resting = True
+        self._reports_requested.clear()
+        self._waiting_between_watches = True
         try:
             async with asyncio.timeout(self.state.reading.pause):
-                await self._reports_wanted.wait()
+                await self._reports_requested.wait()
         except TimeoutError:
             return None
         finally:
-            self._resting = False
-        return READ_PATIENCE
+            self._waiting_between_watches = False
+        return SHORT_WATCH_TIMEOUT_SECONDS
 
-    def _hurry_reports(self) -> None:
+    def _request_reports(self) -> None:
         """End the rest between watches; a watch under way has told all there is."""
-        if self._resting:
-            self._reports_wanted.set()
+        if self._waiting_between_watches:
+            self._reports_requested.set()
         elif not self._platform_failed:
-            self._loop.call_soon(lambda: self._take_reports((), (), whole=False))
+            self._loop.call_soon(lambda: self._handle_reports((), (), complete=False))
 
-    def _take_reports(
+    def _handle_reports(
         self,
         objects: tuple[StoredObject, ...],
         deleted: tuple[str, ...],
         *,
-        whole: bool,
+        complete: bool,
     ) -> None:
         for item in objects:
             if item.name == self.settings.host:
-                self.reports.note_version(item.version)
+                self.reports.record_version(item.version)
         reports = [r for r in map(self._read_report, objects) if r is not None]
         self.dispatch(
             ReportsListed(
-                reports=tuple(reports), removed=deleted, whole=whole, now=self.now
+                reports=tuple(reports), removed=deleted, whole=complete, now=self.now
             )
         )
 
@@ -311,11 +311,11 @@
             return load_report(item.value)
         except DecodeError as error:
             fields = {"source": f"store: {item.name}", "error": str(error)}
-            self.write_note(Note(event=LogEvent.MESSAGE_REFUSED, fields=fields))
+            self.write_log(WriteLog(event=LogEvent.MESSAGE_REFUSED, fields=fields))
             return None
 
 
-def make_balancer(
+def create_balancer(
     settings: NodeSettings,
     *,
     source: SettingsSource,
@@ -329,7 +329,7 @@
             host=settings.host,
             role=settings.role,
             zone=settings.zone,
-            incarnation=draw_incarnation(),
+            incarnation=generate_incarnation(),
         ),
         seeds=settings.seeds,
         flow_lifetime=settings.flow_lifetime,
--- a/shedsill/datagram/_runtime/checkpoints.py
+++ b/shedsill/datagram/_runtime/checkpoints.py
@@ -10,7 +10,7 @@
 from msgspec import Struct
 
 from shedsill._catalogue import LogEvent
-from shedsill._shared_effects import Note
+from shedsill._common_effects import WriteLog
 from shedsill.coordination.backoff import Backoff, get_delay
 from shedsill.coordination.platform import (
     Conflict,
@@ -29,11 +29,11 @@
 
 CHECKPOINT_NAME = "open"
 
-READ_TRIES = 4
+MAX_READ_ATTEMPTS = 4
 """Tries of a balancer that starts to read the checkpoint: the collector overwrites
 what it needs some seconds later."""
 
-RETRY = Backoff(first=0.1, longest=0.5)
+RETRY_BACKOFF = Backoff(initial_delay=0.1, max_delay=0.5)
 """Delays between these tries."""
 
 
@@ -53,7 +53,7 @@
     parts: dict[str, list[OpenFlow]]
 
 
-TakeCheckpoint = Callable[[dict[str, list[OpenFlow]], float, bool], None]
+CheckpointHandler = Callable[[dict[str, list[OpenFlow]], float, bool], None]
 """Gets the parts, their age in seconds, and whether they were read at the start."""
 
 
@@ -70,27 +70,27 @@
         self,
         platform: Platform,
         *,
-        write_note: Callable[[Note], None],
-        take: TakeCheckpoint,
+        write_log: Callable[[WriteLog], None],
+        handle_checkpoint: CheckpointHandler,
     ) -> None:
         self.version = 0
         self._platform = platform
-        self._write_note = write_note
-        self._take = take
+        self._write_log = write_log
+        self._handle_checkpoint = handle_checkpoint
         self._writing = False
 
     async def read(self) -> None:
         """Read what was open before this node's start."""
         call = Get(kind=CHECKPOINT_KIND, name=CHECKPOINT_NAME)
-        for failures in range(1, READ_TRIES + 1):
+        for failures in range(1, MAX_READ_ATTEMPTS + 1):
             match await self._platform.call(call):
                 case Found(object=found):
                     if found is not None:
-                        self._take_object(found, at_start=True)
+                        self._handle_object(found, at_start=True)
                     return
                 case Unavailable(reason=reason):
-                    self._note_failure(reason)
-            await asyncio.sleep(get_delay(RETRY, failures))
+                    self._log_failure(reason)
+            await asyncio.sleep(get_delay(RETRY_BACKOFF, failures))
 
     async def write(self, parts: dict[str, list[OpenFlow]]) -> None:
         """Replace the checkpoint; the next one follows soon if this cannot be done."""
@@ -112,21 +112,21 @@
             case Conflict(current=None):
                 self.version = 0
             case Conflict(current=StoredObject() as current):
-                self._take_object(current, at_start=False)
+                self._handle_object(current, at_start=False)
             case Unavailable(reason=reason):
-                self._note_failure(reason)
+                self._log_failure(reason)
 
-    def _take_object(self, found: StoredObject, *, at_start: bool) -> None:
+    def _handle_object(self, found: StoredObject, *, at_start: bool) -> None:
         self.version = found.version
         try:
             checkpoint = msgspec.convert(found.value, Checkpoint)
         except msgspec.ValidationError as error:
             fields = {"source": "store: checkpoint", "error": str(error)}
-            self._write_note(Note(event=LogEvent.MESSAGE_REFUSED, fields=fields))
+            self._write_log(WriteLog(event=LogEvent.MESSAGE_REFUSED, fields=fields))
             return
         age = abs(time.time() - checkpoint.written_at)
-        self._take(checkpoint.parts, age, at_start)
+        self._handle_checkpoint(checkpoint.parts, age, at_start)
 
-    def _note_failure(self, reason: str) -> None:
+    def _log_failure(self, reason: str) -> None:
         fields = {"reason": reason, "call": "checkpoint"}
-        self._write_note(Note(event=LogEvent.PLATFORM_FAILED, fields=fields))
+        self._write_log(WriteLog(event=LogEvent.PLATFORM_FAILED, fields=fields))
--- a/shedsill/datagram/_runtime/http.py
+++ b/shedsill/datagram/_runtime/http.py
@@ -13,12 +13,12 @@
 from msgspec import Struct
 
 from shedsill._addresses import Address
-from shedsill._connections import watch_connection
+from shedsill._connections import enable_keepalive
 
-CONNECT_TIMEOUT = 1.0
+CONNECT_TIMEOUT_SECONDS = 1.0
 """Seconds for a connection; a VM behind a cut does not answer at all."""
 
-MAX_BODY = 8 * 1024 * 1024
+MAX_BODY_BYTES = 8 * 1024 * 1024
 """Octets of one body that are read; lists hold about 1 MB."""
 
 
@@ -38,8 +38,8 @@
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport | None = None
-        self.answer: asyncio.Future[Response] | None = None
-        self.note_progress: Callable[[], None] = _ignore_progress
+        self.response: asyncio.Future[Response] | None = None
+        self.on_progress: Callable[[], None] = _ignore_progress
         self.closed = False
         self._parser = httptools.HttpResponseParser(self)
         self._body = bytearray()
@@ -47,10 +47,10 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        watch_connection(transport.get_extra_info("socket"))
+        enable_keepalive(transport.get_extra_info("socket"))
 
     def data_received(self, data: bytes) -> None:
-        self.note_progress()
+        self.on_progress()
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
@@ -61,23 +61,23 @@
 
     def on_body(self, body: bytes) -> None:
         self._body += body
-        if len(self._body) > MAX_BODY:
+        if len(self._body) > MAX_BODY_BYTES:
             self._fail(ConnectionError("answer is too long"))
 
     def on_message_complete(self) -> None:
         if not self._parser.should_keep_alive():
             self.closed = True
-        if self.answer is not None and not self.answer.done():
+        if self.response is not None and not self.response.done():
             status = self._parser.get_status_code()
-            self.answer.set_result(Response(status=status, body=bytes(self._body)))
+            self.response.set_result(Response(status=status, body=bytes(self._body)))
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._fail(ConnectionError(f"connection closed: {exc or 'by the peer'}"))
 
     def _fail(self, error: Exception) -> None:
         self.closed = True
-        if self.answer is not None and not self.answer.done():
-            self.answer.set_exception(error)
+        if self.response is not None and not self.response.done():
+            self.response.set_exception(error)
         if self.transport is not None:
             self.transport.abort()
 
@@ -111,23 +111,23 @@
         """
         loop = asyncio.get_running_loop()
         async with asyncio.timeout(timeout) as limit:
-            connection = await self._get_connection()
-            connection.note_progress = lambda: limit.reschedule(loop.time() + timeout)
+            connection = await self._acquire_connection()
+            connection.on_progress = lambda: limit.reschedule(loop.time() + timeout)
             done = False
             try:
                 response = await self._exchange(connection, method, target, body)
                 done = True
             finally:
-                self._put_back(connection, usable=done)
+                self._release_connection(connection, usable=done)
             return response
 
-    async def _get_connection(self) -> _ClientProtocol:
+    async def _acquire_connection(self) -> _ClientProtocol:
         while self._idle:
             connection = self._idle.pop()
             if not connection.closed:
                 return connection
         loop = asyncio.get_running_loop()
-        async with asyncio.timeout(CONNECT_TIMEOUT):
+        async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
             _transport, connection = await loop.create_connection(
                 _ClientProtocol, *self.address.pair
             )
@@ -136,14 +136,14 @@
     async def _exchange(
         self, connection: _ClientProtocol, method: str, target: str, body: bytes | None
     ) -> Response:
-        connection.answer = asyncio.get_running_loop().create_future()
+        connection.response = asyncio.get_running_loop().create_future()
         assert connection.transport is not None
-        connection.transport.write(_make_request(self.address, method, target, body))
-        return await connection.answer
+        connection.transport.write(_build_request(self.address, method, target, body))
+        return await connection.response
 
-    def _put_back(self, connection: _ClientProtocol, *, usable: bool) -> None:
-        connection.answer = None
-        connection.note_progress = _ignore_progress
+    def _release_connection(self, connection: _ClientProtocol, *, usable: bool) -> None:
+        connection.response = None
+        connection.on_progress = _ignore_progress
         if usable and not connection.closed:
             self._idle.append(connection)
         elif connection.transport is not None:
@@ -157,7 +157,7 @@
         self._idle.clear()
 
 
-def _make_request(
+def _build_request(
     address: Address, method: str, target: str, body: bytes | None
 ) -> bytes:
     lines = [f"{method} {target} HTTP/1.1", f"Host: {address}"]
@@ -184,7 +184,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        watch_connection(transport.get_extra_info("socket"))
+        enable_keepalive(transport.get_extra_info("socket"))
 
     def data_received(self, data: bytes) -> None:
         try:
@@ -201,7 +201,7 @@
 
     def on_body(self, body: bytes) -> None:
         self._body += body
-        if len(self._body) > MAX_BODY:
+        if len(self._body) > MAX_BODY_BYTES:
             self._abort()
 
     def on_message_complete(self) -> None:
--- a/shedsill/datagram/_runtime/log.py
+++ b/shedsill/datagram/_runtime/log.py
@@ -17,16 +17,16 @@
 
 from shedsill._catalogue import LogEvent
 from shedsill._limits import Bucket, Rate, take_token
-from shedsill._shared_effects import Note
+from shedsill._common_effects import WriteLog
 
 LINE_RATE = Rate(per_second=100.0, burst=400.0)
 """Lines of one event: enough for each decision of a node in ordinary hours;
 above it, lines are counted and left out."""
 
-MAX_BACKLOG = 256 * 1024
+MAX_BUFFER_BYTES = 256 * 1024
 """Octets that wait for a reader of standard output before lines are dropped."""
 
-STANDARD_OUTPUT = 1
+STDOUT_FILENO = 1
 
 
 class JsonLog:
@@ -34,7 +34,7 @@
 
     Attributes
     ----------
-    describe : callable
+    describe_flow : callable
         Gives the text form of a flow's key.
     counts : Counter
         How often each event has happened.
@@ -46,59 +46,59 @@
         self,
         *,
         node: str,
-        describe: Callable[[bytes], str],
-        descriptor: int = STANDARD_OUTPUT,
+        describe_flow: Callable[[bytes], str],
+        descriptor: int = STDOUT_FILENO,
     ) -> None:
         self.node = node
-        self.describe = describe
+        self.describe_flow = describe_flow
         self.descriptor = descriptor
         self.counts: Counter[LogEvent] = Counter()
         self.dropped = 0
-        self._reported = 0
+        self._dropped_reported = 0
         self._buckets: dict[LogEvent, Bucket] = {}
-        self._backlog = bytearray()
+        self._buffer = bytearray()
         os.set_blocking(descriptor, False)
 
-    def write(self, note: Note, now: float) -> None:
+    def write(self, record: WriteLog, now: float) -> None:
         """Count a note and queue its line."""
-        self.counts[note.event] += 1
-        bucket, passed = take_token(self._buckets.get(note.event), LINE_RATE, now)
-        self._buckets[note.event] = bucket
-        if not passed or len(self._backlog) > MAX_BACKLOG:
+        self.counts[record.event] += 1
+        bucket, passed = take_token(self._buckets.get(record.event), LINE_RATE, now)
+        self._buckets[record.event] = bucket
+        if not passed or len(self._buffer) > MAX_BUFFER_BYTES:
             self.dropped += 1
             return
-        self._append(note)
+        self._append_line(record)
 
-    def _append(self, note: Note) -> None:
-        entry = note.event.value
+    def _append_line(self, record: WriteLog) -> None:
+        entry = record.event.value
         line = {
             "time": round(time.time(), 3),
             "node": self.node,
             "level": entry.level.value,
             "event": entry.number,
-            "name": note.event.name.lower(),
-            **note.fields,
+            "name": record.event.name.lower(),
+            **record.fields,
         }
-        flow = note.fields.get("flow")
+        flow = record.fields.get("flow")
         if isinstance(flow, bytes):
-            line["flow"] = self.describe(flow)
-        self._backlog += msgspec.json.encode(line) + b"\n"
+            line["flow"] = self.describe_flow(flow)
+        self._buffer += msgspec.json.encode(line) + b"\n"
 
     def flush(self) -> None:
         """Write what has been queued, as far as it goes without waiting."""
-        if self.dropped > self._reported and len(self._backlog) <= MAX_BACKLOG:
-            fields = {"dropped": self.dropped - self._reported}
-            self._reported = self.dropped
-            self._append(Note(event=LogEvent.LINES_DROPPED, fields=fields))
-        if not self._backlog:
+        if self.dropped > self._dropped_reported and len(self._buffer) <= MAX_BUFFER_BYTES:
+            fields = {"dropped": self.dropped - self._dropped_reported}
+            self._dropped_reported = self.dropped
+            self._append_line(WriteLog(event=LogEvent.LINES_DROPPED, fields=fields))
+        if not self._buffer:
             return
         try:
-            written = os.write(self.descriptor, self._backlog)
+            written = os.write(self.descriptor, self._buffer)
         except BlockingIOError:
             return
         except OSError:
             # Nobody reads any more, and there is nowhere else to say so.
-            self.dropped += self._backlog.count(b"\n")
-            self._backlog.clear()
+            self.dropped += self._buffer.count(b"\n")
+            self._buffer.clear()
             return
-        del self._backlog[:written]
+        del self._buffer[:written]
--- a/shedsill/datagram/_runtime/metrics.py
+++ b/shedsill/datagram/_runtime/metrics.py
@@ -11,7 +11,7 @@
 
 from shedsill._catalogue import LogEvent
 
-LATENCY_BOUNDS = (0.001, 0.003, 0.01, 0.03, 0.1, 0.3, 1.0, 3.0)
+LATENCY_BOUNDS_SECONDS = (0.001, 0.003, 0.01, 0.03, 0.1, 0.3, 1.0, 3.0)
 """Upper bounds in seconds; three to a decade, up to the callers' deadlines."""
 
 
@@ -29,19 +29,19 @@
     def __init__(self, name: str, text: str) -> None:
         self.name = name
         self.text = text
-        self._counts = [0] * (len(LATENCY_BOUNDS) + 1)
+        self._counts = [0] * (len(LATENCY_BOUNDS_SECONDS) + 1)
         self._sum = 0.0
 
     def observe(self, seconds: float) -> None:
         """Count one duration."""
-        self._counts[bisect.bisect_left(LATENCY_BOUNDS, seconds)] += 1
+        self._counts[bisect.bisect_left(LATENCY_BOUNDS_SECONDS, seconds)] += 1
         self._sum += seconds
 
     def format(self) -> list[str]:
         """Return the lines of the text form."""
         lines = [f"# HELP {self.name} {self.text}", f"# TYPE {self.name} histogram"]
         total = 0
-        bounds = [*map(str, LATENCY_BOUNDS), "+Inf"]
+        bounds = [*map(str, LATENCY_BOUNDS_SECONDS), "+Inf"]
         for bound, count in zip(bounds, self._counts, strict=True):
             total += count
             lines.append(f'{self.name}_bucket{{le="{bound}"}} {total}')
--- a/shedsill/datagram/_runtime/node.py
+++ b/shedsill/datagram/_runtime/node.py
@@ -10,7 +10,7 @@
 
 from shedsill._addresses import Address
 from shedsill._catalogue import LogEvent
-from shedsill._shared_effects import Exit, Note
+from shedsill._common_effects import Exit, WriteLog
 from shedsill.coordination.platform import Platform, Unavailable
 from shedsill.datagram._agent_state import AgentState
 from shedsill.datagram._balancer_state import BalancerState
@@ -42,18 +42,18 @@
 from shedsill.datagram._runtime.log import JsonLog
 from shedsill.datagram._runtime.metrics import Histogram, format_events
 from shedsill.datagram._runtime.reports import ReportWriter
-from shedsill.datagram._runtime.sockets import DatagramSockets, refuse_address
-from shedsill.datagram._runtime.traffic import CountedPlatform, Traffic
+from shedsill.datagram._runtime.sockets import DatagramSockets, build_address_error
+from shedsill.datagram._runtime.traffic import CountingPlatform, TrafficCounters
 from shedsill.datagram.adapter import NodeSettings, PacketCodec, SettingsSource
 from shedsill.errors import DecodeError, InvariantError, SettingError
 
-TICK_INTERVAL = 0.04
+TICK_INTERVAL_SECONDS = 0.04
 """Seconds between ticks: half of the shortest limit that ticks watch over."""
 
-SETTINGS_INTERVAL = 1.0
+SETTINGS_CHECK_INTERVAL_SECONDS = 1.0
 """Seconds between looks at whether the settings have changed."""
 
-FIGURES_INTERVAL = 5.0
+TRAFFIC_LOG_INTERVAL_SECONDS = 5.0
 """Seconds between log lines that tell what this node has asked of others; a killed
 node leaves no other word of it."""
 
@@ -85,32 +85,32 @@
     ) -> None:
         self.state = state
         self.settings = settings
-        self._source = source
+        self._settings_source = source
         self.codec = codec
-        self.traffic = Traffic()
-        self.platform = CountedPlatform(platform, self.traffic)
+        self.traffic = TrafficCounters()
+        self.platform = CountingPlatform(platform, self.traffic)
         self.failure: Exception | None = None
-        self.log = JsonLog(node=settings.name, describe=codec.describe_flow)
+        self.log = JsonLog(node=settings.name, describe_flow=codec.describe_flow)
         self.latency = Histogram(
             "shedsill_latency_seconds",
             "Balancer: offer to answer of an opening; agent: request to answer",
         )
         self.reports = ReportWriter(
             platform=self.platform,
-            write_note=self.write_note,
-            take_earlier=self._take_earlier_report,
-            run_beside=self.run_beside,
+            write_log=self.write_log,
+            handle_earlier_report=self._handle_earlier_report,
+            run_in_background=self.run_in_background,
         )
         self._loop = asyncio.get_running_loop()
         self._exited = asyncio.Event()
         self._servers: list[asyncio.Server] = []
         self.sockets = DatagramSockets(
-            write_note=self.write_note,
-            note_drained=lambda: self.dispatch(PacketsDrained(now=self.now)),
+            write_log=self.write_log,
+            on_drained=lambda: self.dispatch(PacketsDrained(now=self.now)),
         )
         self._tasks: set[asyncio.Task[None]] = set()
         self._platform_failed = False
-        self._messages = self.sockets.open(settings.messages, self._take_message)
+        self._message_socket = self.sockets.open(settings.messages, self._receive_message)
 
     @property
     def now(self) -> float:
@@ -124,10 +124,10 @@
         for number in (signal.SIGTERM, signal.SIGINT):
             self._loop.add_signal_handler(number, self._request_stop)
         self._loop.add_signal_handler(signal.SIGHUP, self._read_settings)
-        self.run_beside(self._watch_settings())
-        await self.serve(self.settings.status, self.answer_status)
+        self.run_in_background(self._watch_settings())
+        await self.serve(self.settings.status, self.handle_status_request)
         if self.settings.metrics is not None:
-            await self.serve(self.settings.metrics, self._answer_metrics)
+            await self.serve(self.settings.metrics, self._handle_metrics_request)
         fields = {
             "role": self.settings.role.value,
             "host": self.settings.host,
@@ -136,15 +136,15 @@
             "incarnation": self.state.report.incarnation,
             "first_start": self.settings.first_start,
         }
-        self.write_note(Note(event=LogEvent.NODE_STARTED, fields=fields))
-        self.begin()
+        self.write_log(WriteLog(event=LogEvent.NODE_STARTED, fields=fields))
+        self.start_role()
         self._tick()
-        self._loop.call_later(FIGURES_INTERVAL, self._write_figures)
+        self._loop.call_later(TRAFFIC_LOG_INTERVAL_SECONDS, self._log_traffic)
         await self._exited.wait()
-        await self.reports.finish()
+        await self.reports.wait_until_written()
         self._close()
 
-    def begin(self) -> None:
+    def start_role(self) -> None:
         """Do what a role does first; subclasses add to it."""
         raise NotImplementedError
 
@@ -154,17 +154,17 @@
     async def _watch_settings(self) -> None:
         """Notice settings that change without a signal."""
         while True:
-            await asyncio.sleep(SETTINGS_INTERVAL)
-            if self._source.has_changed():
+            await asyncio.sleep(SETTINGS_CHECK_INTERVAL_SECONDS)
+            if self._settings_source.has_changed():
                 self._read_settings()
 
     def _read_settings(self) -> None:
         """Put changed settings in force; keep those before if they are bad."""
         try:
-            settings = self._source.read()
+            settings = self._settings_source.read()
         except SettingError as error:
             fields = {"error": str(error)}
-            self.write_note(Note(event=LogEvent.SETTINGS_REJECTED, fields=fields))
+            self.write_log(WriteLog(event=LogEvent.SETTINGS_REJECTED, fields=fields))
             return
         if settings == self.settings:
             return
@@ -177,13 +177,13 @@
             )
         )
 
-    def _take_earlier_report(self, value: object, at_start: bool) -> None:
+    def _handle_earlier_report(self, value: object, at_start: bool) -> None:
         """Dispatch what an earlier run of this node left in the store."""
         try:
             report = load_report(value)
         except DecodeError as error:
             fields = {"source": "store: own report", "error": str(error)}
-            self.write_note(Note(event=LogEvent.MESSAGE_REFUSED, fields=fields))
+            self.write_log(WriteLog(event=LogEvent.MESSAGE_REFUSED, fields=fields))
             return
         event = EarlierReportRead(report=report, at_start=at_start, now=self.now)
         self.dispatch(event)
@@ -200,63 +200,63 @@
         self.dispatch(Tick(now=self.now))
         self.log.flush()
         if not self._exited.is_set():
-            self._loop.call_later(TICK_INTERVAL, self._tick)
+            self._loop.call_later(TICK_INTERVAL_SECONDS, self._tick)
 
-    def _write_figures(self) -> None:
+    def _log_traffic(self) -> None:
         """Log what this node has asked of others since its start."""
         fields = {
             "calls": self.traffic.calls,
             "messages": self.traffic.messages,
-            "octets": self.traffic.octets,
+            "octets": self.traffic.message_bytes,
         }
-        self.write_note(Note(event=LogEvent.NODE_FIGURES, fields=fields))
+        self.write_log(WriteLog(event=LogEvent.NODE_FIGURES, fields=fields))
         if not self._exited.is_set():
-            self._loop.call_later(FIGURES_INTERVAL, self._write_figures)
+            self._loop.call_later(TRAFFIC_LOG_INTERVAL_SECONDS, self._log_traffic)
 
     # Input
 
-    def _take_message(self, data: bytes, source: str) -> None:
+    def _receive_message(self, data: bytes, source: str) -> None:
         try:
             message = decode_message(data)
         except DecodeError as error:
             fields = {"source": source, "error": str(error)}
-            self.write_note(Note(event=LogEvent.MESSAGE_REFUSED, fields=fields))
+            self.write_log(WriteLog(event=LogEvent.MESSAGE_REFUSED, fields=fields))
             return
         returned = None
         if isinstance(message, PacketReturned):
             returned = self.codec.decode_caller(message.packet)
             if returned is None:
-                self.note_malformed(source, message.packet)
+                self.log_malformed_packet(source, message.packet)
                 return
         event = MessageReceived(message=message, source=source, now=self.now)
         self._reduce(event, returned)
 
-    def note_malformed(self, source: str, data: bytes) -> None:
+    def log_malformed_packet(self, source: str, data: bytes) -> None:
         """Note a datagram that is not a packet."""
         fields = {"source": source, "octets": len(data)}
-        self.write_note(Note(event=LogEvent.PACKET_MALFORMED, fields=fields))
+        self.write_log(WriteLog(event=LogEvent.PACKET_MALFORMED, fields=fields))
 
     async def serve(self, address: Address, handler: Handler) -> None:
         """Answer HTTP calls at an address."""
         try:
             server = await serve_http(address, handler)
         except OSError as error:
-            raise refuse_address(address, error) from error
+            raise build_address_error(address, error) from error
         self._servers.append(server)
 
-    def answer_status(self, method: str, path: str, body: bytes) -> Response:
+    def handle_status_request(self, method: str, path: str, body: bytes) -> Response:
         """Answer whether this node should be sent packets."""
         if path.partition("?")[0] != self.settings.readiness_path:
             return Response(status=HTTP_NOT_FOUND, body=b"{}")
-        status = HTTP_OK if self.ready else HTTP_UNAVAILABLE
+        status = HTTP_OK if self.is_ready else HTTP_UNAVAILABLE
         return Response(status=status, body=b"{}")
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether this node should be sent packets."""
         raise NotImplementedError
 
-    def _answer_metrics(self, method: str, path: str, body: bytes) -> Response:
+    def _handle_metrics_request(self, method: str, path: str, body: bytes) -> Response:
         if path.partition("?")[0] != METRICS_PATH:
             return Response(status=HTTP_NOT_FOUND, body=b"")
         lines = [*format_events(self.log.counts), *self.latency.format()]
@@ -277,7 +277,7 @@
     def _reduce(self, event: Event, returned: Any) -> None:
         try:
             for effect in reduce(self.state, event, returned):
-                self.carry_out(effect)
+                self.execute(effect)
         except Exception as error:
             self._fail(error)
             raise
@@ -286,19 +286,19 @@
         """Stop the process: whatever escapes the reducer breaks an invariant."""
         self.failure = error
         fields = {"error": f"{type(error).__name__}: {error}"}
-        self.write_note(Note(event=LogEvent.INVARIANT_BROKEN, fields=fields))
+        self.write_log(WriteLog(event=LogEvent.INVARIANT_BROKEN, fields=fields))
         self._exited.set()
 
-    def carry_out(self, effect: Effect) -> None:
+    def execute(self, effect: Effect) -> None:
         """Carry out an effect that every role has."""
         match effect:
-            case Note():
-                self.write_note(effect)
+            case WriteLog():
+                self.write_log(effect)
             case SendMessage(host=host, message=message):
                 octets = encode_message(message)
                 self.traffic.count_message(type(message).__name__, len(octets))
                 target = (host, self.settings.messages.port)
-                self.sockets.send(self._messages, octets, target)
+                self.sockets.send(self._message_socket, octets, target)
             case ResetFlow(flow=flow, seq=seq):
                 self.send_to_caller(flow, self.codec.encode_reset(flow, seq))
             case ObserveLatency(seconds=seconds):
@@ -315,13 +315,13 @@
     def send_to_caller(self, flow: bytes, data: bytes) -> None:
         """Send a packet to the caller of a flow."""
         target = (self.codec.get_caller(flow), self.settings.caller_port)
-        self.sockets.send(self._messages, data, target)
+        self.sockets.send(self._message_socket, data, target)
 
-    def write_note(self, note: Note) -> None:
+    def write_log(self, record: WriteLog) -> None:
         """Count a note and queue its log line."""
-        self.log.write(note, self.now)
+        self.log.write(record, self.now)
 
-    def run_beside(self, coroutine: Coroutine[Any, Any, None]) -> None:
+    def run_in_background(self, coroutine: Coroutine[Any, Any, None]) -> None:
         """Run a coroutine beside the loop; it ends with the node."""
         task = self._loop.create_task(coroutine)
         self._tasks.add(task)
@@ -332,18 +332,18 @@
         if task.cancelled() or task.exception() is None:
             return
         fields = {"error": repr(task.exception())}
-        self.write_note(Note(event=LogEvent.TASK_FAILED, fields=fields))
+        self.write_log(WriteLog(event=LogEvent.TASK_FAILED, fields=fields))
 
-    def note_platform(self, failure: Unavailable | None) -> None:
+    def update_platform_status(self, failure: Unavailable | None) -> None:
         """Note that the platform's store was lost or is back."""
         if failure is not None and not self._platform_failed:
             fields = {"reason": failure.reason}
-            self.write_note(Note(event=LogEvent.PLATFORM_FAILED, fields=fields))
+            self.write_log(WriteLog(event=LogEvent.PLATFORM_FAILED, fields=fields))
         if failure is None and self._platform_failed:
-            self.write_note(Note(event=LogEvent.PLATFORM_BACK))
+            self.write_log(WriteLog(event=LogEvent.PLATFORM_BACK))
         self._platform_failed = failure is not None
 
 
-def draw_incarnation() -> int:
+def generate_incarnation() -> int:
     """Draw the number of this start of the process."""
     return int.from_bytes(os.getrandom(6), "big")
--- a/shedsill/datagram/_runtime/sockets.py
+++ b/shedsill/datagram/_runtime/sockets.py
@@ -9,15 +9,15 @@
 
 from shedsill._addresses import Address
 from shedsill._catalogue import LogEvent
-from shedsill._shared_effects import Note
+from shedsill._common_effects import WriteLog
 from shedsill.errors import SettingError
 
-DATAGRAMS_PER_TURN = 128
+MAX_DATAGRAMS_PER_READ = 128
 """Datagrams read from one socket before others get their turn."""
 
-DATAGRAM_SIZE = 65_535
+MAX_DATAGRAM_BYTES = 65_535
 
-SOCKET_BUFFER = 4 * 1024 * 1024
+SOCKET_BUFFER_BYTES = 4 * 1024 * 1024
 """Octets of datagrams that may wait while the VM is out of processor quota."""
 
 
@@ -26,24 +26,24 @@
 
     Parameters
     ----------
-    write_note : callable
+    write_log : callable
         Gets what went wrong.
-    note_drained : callable
+    on_drained : callable
         Called when no datagram is left to be read for the moment.
     """
 
     def __init__(
-        self, *, write_note: Callable[[Note], None], note_drained: Callable[[], None]
+        self, *, write_log: Callable[[WriteLog], None], on_drained: Callable[[], None]
     ) -> None:
         self._loop = asyncio.get_running_loop()
-        self._write_note = write_note
-        self._note_drained = note_drained
+        self._write_log = write_log
+        self._on_drained = on_drained
         self._sockets: list[socket.socket] = []
 
     def open(
-        self, address: Address, take: Callable[[bytes, str], None]
+        self, address: Address, receive: Callable[[bytes, str], None]
     ) -> socket.socket:
-        """Open a socket whose datagrams go to `take` with their source.
+        """Open a socket whose datagrams go to `receive` with their source.
 
         Raises
         ------
@@ -53,39 +53,39 @@
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         sock.setblocking(False)
         for option in (socket.SO_RCVBUF, socket.SO_SNDBUF):
-            sock.setsockopt(socket.SOL_SOCKET, option, SOCKET_BUFFER)
+            sock.setsockopt(socket.SOL_SOCKET, option, SOCKET_BUFFER_BYTES)
         try:
             sock.bind(address.pair)
         except OSError as error:
-            raise refuse_address(address, error) from error
-        self._loop.add_reader(sock, self._drain, sock, take)
+            raise build_address_error(address, error) from error
+        self._loop.add_reader(sock, self._receive_datagrams, sock, receive)
         self._sockets.append(sock)
         return sock
 
-    def _drain(self, sock: socket.socket, take: Callable[[bytes, str], None]) -> None:
-        for _ in range(DATAGRAMS_PER_TURN):
+    def _receive_datagrams(self, sock: socket.socket, receive: Callable[[bytes, str], None]) -> None:
+        for _ in range(MAX_DATAGRAMS_PER_READ):
             try:
-                data, source = sock.recvfrom(DATAGRAM_SIZE)
+                data, source = sock.recvfrom(MAX_DATAGRAM_BYTES)
             except BlockingIOError:
                 break
             except OSError as error:
                 # ICMP's word on an earlier datagram; silence is noticed elsewhere.
                 if error.errno != errno.ECONNREFUSED:
-                    self._note_failure(sock, error)
+                    self._log_failure(sock, error)
                 continue
-            take(data, source[0])
-        self._note_drained()
+            receive(data, source[0])
+        self._on_drained()
 
     def send(self, sock: socket.socket, data: bytes, target: tuple[str, int]) -> None:
         """Send a datagram; one that cannot be sent is lost, as any may be."""
         try:
             sock.sendto(data, target)
         except OSError as error:
-            self._note_failure(sock, error)
+            self._log_failure(sock, error)
 
-    def _note_failure(self, sock: socket.socket, error: OSError) -> None:
+    def _log_failure(self, sock: socket.socket, error: OSError) -> None:
         fields = {"socket": str(sock.getsockname()), "error": str(error)}
-        self._write_note(Note(event=LogEvent.SEND_FAILED, fields=fields))
+        self._write_log(WriteLog(event=LogEvent.SEND_FAILED, fields=fields))
 
     def close(self) -> None:
         """Close all sockets."""
@@ -94,7 +94,7 @@
             sock.close()
 
 
-def refuse_address(address: Address, error: OSError) -> SettingError:
+def build_address_error(address: Address, error: OSError) -> SettingError:
     """Return the error of an address that this VM cannot listen at."""
     allowed = f"an address that is free on this VM ({error.strerror})"
     return SettingError("listen address", str(address), allowed)
--- a/shedsill/datagram/_runtime/tables.py
+++ b/shedsill/datagram/_runtime/tables.py
@@ -11,10 +11,10 @@
 
 import msgspec
 
-from shedsill.datagram._runtime.http import MAX_BODY
+from shedsill.datagram._runtime.http import MAX_BODY_BYTES
 from shedsill.errors import DecodeError
 
-TABLE_RATE = 100_000
+TABLE_BYTES_PER_SECOND = 100_000
 """Octets of tables a second that one balancer sends to others: a sixth of a link of
 5 Mbit/s, which carries the nodes' small messages too.  Measured without it: 22 readers
 of 255,475 octets each kept a balancer on 10 Mbit/s from hearing any agent for 5 s."""
@@ -24,30 +24,30 @@
 in 0.8 ms, and the usual level 14 times in 1.7 ms."""
 
 
-def pack_table(value: object) -> bytes:
+def compress_table(value: object) -> bytes:
     """Return the octets in which a table, as the store holds it, is sent.
 
     Examples
     --------
-    >>> unpack_table(pack_table({"version": 3}))
+    >>> decompress_table(compress_table({"version": 3}))
     {'version': 3}
     """
     return zlib.compress(msgspec.json.encode(value), COMPRESSION_LEVEL)
 
 
-def unpack_table(octets: bytes) -> object:
+def decompress_table(data: bytes) -> object:
     """Read a table from its octets.
 
     Raises
     ------
     DecodeError
-        If they are not a table of at most `MAX_BODY` octets.
+        If they are not a table of at most `MAX_BODY_BYTES` octets.
     """
     inflater = zlib.decompressobj()
     try:
-        content = inflater.decompress(octets, MAX_BODY)
+        content = inflater.decompress(data, MAX_BODY_BYTES)
         if not inflater.eof:
-            raise DecodeError(f"table is cut short or longer than {MAX_BODY} octets")
+            raise DecodeError(f"table is cut short or longer than {MAX_BODY_BYTES} octets")
         return msgspec.json.decode(content)
     except (zlib.error, msgspec.DecodeError) as error:
         raise DecodeError(f"not a table: {error}") from error
@@ -59,35 +59,35 @@
     Attributes
     ----------
     value : object
-        The table as the store holds it; None where there is none, or where `packed`
+        The table as the store holds it; None where there is none, or where `compressed`
         has taken its place.
-    packed : bytes
+    compressed : bytes
         The table as it is sent; empty until the first balancer asks for it.
-    free_at : float
+    next_send_at : float
         When the next one may be sent.
     """
 
     def __init__(self) -> None:
         self.value: object = None
-        self.packed = b""
-        self.free_at = 0.0
+        self.compressed = b""
+        self.next_send_at = 0.0
 
-    def put(self, value: object) -> None:
+    def replace(self, value: object) -> None:
         """Replace the table."""
         self.value = value
-        self.packed = b""
+        self.compressed = b""
 
     @property
     def is_empty(self) -> bool:
         """Whether there is no table yet."""
-        return self.value is None and not self.packed
+        return self.value is None and not self.compressed
 
-    def take(self, now: float) -> bytes | None:
+    def get_for_sending(self, now: float) -> bytes | None:
         """Return the table's octets; None while too many have been sent lately."""
-        if now < self.free_at:
+        if now < self.next_send_at:
             return None
-        if not self.packed:
-            self.packed = pack_table(self.value)
+        if not self.compressed:
+            self.compressed = compress_table(self.value)
             self.value = None
-        self.free_at = now + len(self.packed) / TABLE_RATE
-        return self.packed
+        self.next_send_at = now + len(self.compressed) / TABLE_BYTES_PER_SECOND
+        return self.compressed
--- a/shedsill/datagram/_runtime/traffic.py
+++ b/shedsill/datagram/_runtime/traffic.py
@@ -17,19 +17,19 @@
 from shedsill.datagram._runtime.metrics import format_counters
 
 
-class Traffic:
+class TrafficCounters:
     """What one node has asked of the store and told other nodes since its start.
 
     Attributes
     ----------
     calls : Counter of str
         Calls of the store by kind of call and object.
-    messages, octets : Counter of str
+    messages, message_bytes : Counter of str
         Messages sent to other nodes by class, and their octets.
 
     Examples
     --------
-    >>> traffic = Traffic()
+    >>> traffic = TrafficCounters()
     >>> traffic.count_message("Probe", 2)
     >>> traffic.format()[-1]
     'shedsill_message_octets_total{message="Probe"} 2'
@@ -38,7 +38,7 @@
     def __init__(self) -> None:
         self.calls: Counter[str] = Counter()
         self.messages: Counter[str] = Counter()
-        self.octets: Counter[str] = Counter()
+        self.message_bytes: Counter[str] = Counter()
 
     def count_call(self, call: Call) -> None:
         """Count one call of the store."""
@@ -51,10 +51,10 @@
                 kind = ""
         self.calls[f"{type(call).__name__.lower()} {kind}".strip()] += 1
 
-    def count_message(self, name: str, octets: int) -> None:
+    def count_message(self, name: str, size: int) -> None:
         """Count one message to another node."""
         self.messages[name] += 1
-        self.octets[name] += octets
+        self.message_bytes[name] += size
 
     def format(self) -> list[str]:
         """Return the lines of the text form."""
@@ -65,15 +65,15 @@
             "shedsill_messages_total", "Messages sent", "message", self.messages
         )
         octets = format_counters(
-            "shedsill_message_octets_total", "Their octets", "message", self.octets
+            "shedsill_message_octets_total", "Their octets", "message", self.message_bytes
         )
         return [*calls, *messages, *octets]
 
 
-class CountedPlatform:
+class CountingPlatform:
     """Counts the calls that go to the platform's store."""
 
-    def __init__(self, platform: Platform, traffic: Traffic) -> None:
+    def __init__(self, platform: Platform, traffic: TrafficCounters) -> None:
         self._platform = platform
         self._traffic = traffic
 
--- a/shedsill/datagram/_slots.py
+++ b/shedsill/datagram/_slots.py
@@ -16,7 +16,7 @@
 import math
 
 from shedsill._catalogue import LogEvent
-from shedsill._shared_effects import Note
+from shedsill._common_effects import WriteLog
 from shedsill.datagram import _backlog
 from shedsill.datagram._agent_state import (
     AgentFlow,
@@ -105,14 +105,14 @@
     return state.working >= _count_slots(state)
 
 
-def _note_held(state: AgentState, packet: Packet) -> Note:
+def _note_held(state: AgentState, packet: Packet) -> WriteLog:
     fields = {
         "flow": packet.flow,
         "working": state.working,
         "held": len(state.backlog.held),
         "urgency": packet.urgency,
     }
-    return Note(event=LogEvent.REQUEST_HELD, fields=fields)
+    return WriteLog(event=LogEvent.REQUEST_HELD, fields=fields)
 
 
 def take_acknowledgement(
@@ -174,7 +174,7 @@
         "working": state.working,
         "held": len(state.backlog.held),
     }
-    return [*effects, Note(event=LogEvent.REQUEST_ANSWERED, fields=fields)]
+    return [*effects, WriteLog(event=LogEvent.REQUEST_ANSWERED, fields=fields)]
 
 
 def _note_failing(state: AgentState, now: float) -> list[Effect]:
@@ -182,7 +182,7 @@
         "usual_ms": round(state.health.warm.seconds * 1000),
         "pause": state.health.pause,
     }
-    note = Note(event=LogEvent.UPSTREAM_FAILING, fields=fields)
+    note = WriteLog(event=LogEvent.UPSTREAM_FAILING, fields=fields)
     return [note, *announce(state, now)]
 
 
@@ -238,7 +238,7 @@
     }
     return [
         *(SendToUpstream(packet, flow.balancer) for packet in held.packets),
-        Note(event=LogEvent.REQUEST_PASSED_ON, fields=fields),
+        WriteLog(event=LogEvent.REQUEST_PASSED_ON, fields=fields),
     ]
 
 
@@ -258,7 +258,7 @@
         flow = state.flows.get(key)
         if flow is None or now - flow.seen > CALLER_SILENCE:
             fields = {"flow": key, "held_ms": round((now - held.since) * 1000)}
-            effects.append(Note(event=LogEvent.REQUEST_ABANDONED, fields=fields))
+            effects.append(WriteLog(event=LogEvent.REQUEST_ABANDONED, fields=fields))
             effects += drop_request(state, key, now)
     for key, flow in state.flows.items():
         if flow.working and now - flow.working_since > WAITING_LIMIT:
--- a/shedsill/datagram/_upstream.py
+++ b/shedsill/datagram/_upstream.py
@@ -7,7 +7,7 @@
 from msgspec.structs import replace
 
 from shedsill._catalogue import LogEvent
-from shedsill._shared_effects import Note
+from shedsill._common_effects import WriteLog
 from shedsill.datagram import _slots
 from shedsill.datagram._agent_state import (
     AgentFlow,
@@ -77,7 +77,7 @@
     effects += publish(state, now)
     fields = {"boot": heartbeat.boot, "serial": heartbeat.serial}
     fields |= {"cold": heartbeat.cold, "complete": state.complete}
-    return [*effects, Note(event=LogEvent.HEARTBEAT_TAKEN, fields=fields)]
+    return [*effects, WriteLog(event=LogEvent.HEARTBEAT_TAKEN, fields=fields)]
 
 
 def _is_outdated(state: AgentState, heartbeat: Heartbeat, now: float) -> bool:
@@ -93,13 +93,13 @@
     return alive and now - state.heartbeat_missing_since < BOOT_SILENCE
 
 
-def _note_outdated(state: AgentState, heartbeat: Heartbeat) -> Note:
+def _note_outdated(state: AgentState, heartbeat: Heartbeat) -> WriteLog:
     fields = {
         "boot": heartbeat.boot,
         "serial": heartbeat.serial,
         "current": state.report.boot,
     }
-    return Note(event=LogEvent.HEARTBEAT_OUTDATED, fields=fields)
+    return WriteLog(event=LogEvent.HEARTBEAT_OUTDATED, fields=fields)
 
 
 def _change_boot(state: AgentState, heartbeat: Heartbeat, now: float) -> list[Effect]:
@@ -175,7 +175,7 @@
         "earlier": earlier.boot,
         "complete": state.complete,
     }
-    return [Note(event=LogEvent.EARLIER_REPORT, fields=fields)]
+    return [WriteLog(event=LogEvent.EARLIER_REPORT, fields=fields)]
 
 
 def _was_taken(flow: AgentFlow, since: float) -> bool:
@@ -202,7 +202,7 @@
         del state.flows[key]
     fields = {"flows": len(effects), "reason": reason, "boot": state.report.boot}
     state.tried.clear()
-    note = Note(event=LogEvent.FLOWS_FREED, fields=fields)
+    note = WriteLog(event=LogEvent.FLOWS_FREED, fields=fields)
     return [*effects, note, *_slots.keep_requests(state, now)]
 
 
@@ -240,7 +240,7 @@
     effects: list[Effect] = []
     if state.report.state in (UpstreamState.READY, UpstreamState.UNKNOWN):
         fields = {"refused": event.refused, "flows": len(state.flows)}
-        effects.append(Note(event=LogEvent.UPSTREAM_SILENT, fields=fields))
+        effects.append(WriteLog(event=LogEvent.UPSTREAM_SILENT, fields=fields))
         effects += set_state(state, UpstreamState.UNRESPONSIVE, now)
     if event.refused:
         state.complete = True
--- a/shedsill/http3/_acceptance.py
+++ b/shedsill/http3/_acceptance.py
@@ -14,7 +14,7 @@
 
 from shedsill._catalogue import LogEvent
 from shedsill.coordination.lease import Lease, is_held
-from shedsill.coordination.membership import list_live
+from shedsill.coordination.membership import list_live_members
 from shedsill.coordination.platform import List as ListCall
 from shedsill.coordination.platform import (
     Listing,
@@ -40,7 +40,7 @@
     encode_configuration,
     is_newer,
 )
-from shedsill.http3._effects import CallPlatform, Effect, Note
+from shedsill.http3._effects import CallPlatform, Effect, WriteLog
 from shedsill.http3._node import (
     CONFIGURATION_KIND,
     CONFIGURATION_NAME,
@@ -109,7 +109,7 @@
     """Whether this balancer is among the few that try for the lease."""
     others = [
         member.report.name
-        for member in list_live(node.membership, now)
+        for member in list_live_members(node.membership, now)
         if member.report.balancer and not member.report.leaving
     ]
     names = sorted({*others, node.name})
@@ -192,7 +192,7 @@
         base = node.configuration
     if _has_lost_resources(base, listing):
         fields = {"generation": base.generation}
-        note = Note(event=LogEvent.RESOURCES_MISSING, fields=fields)
+        note = WriteLog(event=LogEvent.RESOURCES_MISSING, fields=fields)
         return evolve(acceptor, current=True), [note]
     inputs = _make_inputs(acceptor, node, listing, base, now)
     acceptance = accept(base, inputs)
@@ -357,7 +357,7 @@
         )
         if verdict.kind == VerdictKind.REJECTED:
             fields = {"resource": verdict.resource, "reason": verdict.reason}
-            effects.append(Note(event=LogEvent.RESOURCE_REJECTED, fields=fields))
+            effects.append(WriteLog(event=LogEvent.RESOURCE_REJECTED, fields=fields))
     cluster = index.get((STATUS_KIND, CLUSTER_STATUS))
     if cluster is not None:
         acceptor = evolve(acceptor, cluster_version=cluster.version)
@@ -403,7 +403,7 @@
         return acceptor, []
     if not _is_due(acceptor, Purpose.STATUS, acceptor.next_cluster, now):
         return acceptor, []
-    reports = [member.report for member in list_live(node.membership, now)]
+    reports = [member.report for member in list_live_members(node.membership, now)]
     in_force = 1 + sum(1 for report in reports if report.generation >= generation)
     value = {
         "generation": generation,
--- a/shedsill/http3/_agent.py
+++ b/shedsill/http3/_agent.py
@@ -14,7 +14,7 @@
     report_status,
     update_drain,
 )
-from shedsill.http3._effects import Effect, Note, Send
+from shedsill.http3._effects import Effect, WriteLog, Send
 from shedsill.http3._events import (
     ConfigurationOffered,
     FlowClosed,
@@ -84,7 +84,7 @@
     state = _identify(evolve(state, node=node), node.configuration, event.now)
     if state.upstream and not was_known:
         fields = {"seconds": state.admission.held_until - event.now}
-        effects.append(Note(event=LogEvent.SLOTS_HELD, fields=fields))
+        effects.append(WriteLog(event=LogEvent.SLOTS_HELD, fields=fields))
     state, more = update_drain(state, event.now)
     return state, effects + more
 
@@ -164,7 +164,7 @@
 def take_stop(state: AgentState, event: StopRequested) -> Step:
     """Begin a planned stop of the process."""
     state = evolve(state, node=evolve(state.node, stopping=True))
-    note = Note(event=LogEvent.NODE_STOPPING, fields={"flows": state.flows})
+    note = WriteLog(event=LogEvent.NODE_STOPPING, fields={"flows": state.flows})
     if state.leaving is not None:
         state = evolve(state, leaving=evolve(state.leaving, drained=False))
         return state, [note]
@@ -176,14 +176,14 @@
     """Count a new connection."""
     state = evolve(state, flows=state.flows + 1)
     fields = {"flow": event.flow, "flows": state.flows}
-    return state, [Note(event=LogEvent.FLOW_OPENED, fields=fields)]
+    return state, [WriteLog(event=LogEvent.FLOW_OPENED, fields=fields)]
 
 
 def close_flow(state: AgentState, event: FlowClosed) -> Step:
     """Count a connection that has ended."""
     state = evolve(state, flows=state.flows - 1)
     fields = {"flow": event.flow, "flows": state.flows}
-    return state, [Note(event=LogEvent.FLOW_CLOSED, fields=fields)]
+    return state, [WriteLog(event=LogEvent.FLOW_CLOSED, fields=fields)]
 
 
 def take_upstream_load(state: AgentState, event: UpstreamLoadRead) -> Step:
@@ -195,7 +195,7 @@
         return state, []
     state, effects = start_waiting(state, event.now, 0)
     fields = {"slots": count_free(admission, event.now)}
-    return state, [Note(event=LogEvent.SLOTS_RELEASED, fields=fields), *effects]
+    return state, [WriteLog(event=LogEvent.SLOTS_RELEASED, fields=fields), *effects]
 
 
 def take_handover(state: AgentState, event: HandoverReceived) -> Step:
@@ -205,5 +205,5 @@
         ledger = take_transfer(ledger, transfer, event.now)
     count = sum(len(transfer.records) for transfer in event.transfers)
     state = evolve(state, ledger=ledger)
-    note = Note(event=LogEvent.OUTCOMES_TAKEN, fields={"records": count})
+    note = WriteLog(event=LogEvent.OUTCOMES_TAKEN, fields={"records": count})
     return state, [note]
--- a/shedsill/http3/_balancer.py
+++ b/shedsill/http3/_balancer.py
@@ -6,7 +6,7 @@
 from attrs import evolve, field, frozen
 
 from shedsill._catalogue import LogEvent
-from shedsill.coordination.lease import is_held, note_outcome, plan_call
+from shedsill.coordination.lease import is_held, record_outcome, plan_call
 from shedsill.coordination.platform import (
     Changed,
     Listing,
@@ -28,7 +28,7 @@
     take_machines,
 )
 from shedsill.http3._configuration import is_newer
-from shedsill.http3._effects import CallPlatform, Effect, Exit, Note, Send
+from shedsill.http3._effects import CallPlatform, Effect, Exit, WriteLog, Send
 from shedsill.http3._events import (
     CallerDatagram,
     ConfigurationOffered,
@@ -195,7 +195,7 @@
         stop_since=event.now,
         router=evolve(state.router, last_datagram=event.now),
     )
-    return state, [Note(event=LogEvent.NODE_STOPPING, fields={})]
+    return state, [WriteLog(event=LogEvent.NODE_STOPPING, fields={})]
 
 
 def _advance_stop(state: BalancerState, now: float) -> Step:
@@ -223,7 +223,7 @@
     acceptor = evolve(state.acceptor, failing=failing)
     state, effects = _go_on(evolve(state, acceptor=acceptor), event)
     if was_failing and not failing:
-        effects = [Note(event=LogEvent.PLATFORM_BACK, fields={}), *effects]
+        effects = [WriteLog(event=LogEvent.PLATFORM_BACK, fields={}), *effects]
     return state, effects
 
 
@@ -247,7 +247,7 @@
         case _, outcome:
             acceptor = list_again(acceptor, now, pause=RETRY_PAUSE)
             fields = {"purpose": event.purpose.value, "reason": str(outcome)}
-            note = Note(event=LogEvent.PLATFORM_FAILED, fields=fields)
+            note = WriteLog(event=LogEvent.PLATFORM_FAILED, fields=fields)
             return evolve(state, acceptor=acceptor), [note]
     return evolve(state, acceptor=acceptor), []
 
@@ -268,15 +268,15 @@
     state: BalancerState, acceptor: Acceptor, event: PlatformAnswered
 ) -> Step:
     before = is_held(acceptor.lease, event.now)
-    lease = note_outcome(acceptor.lease, event.outcome, event.now)
+    lease = record_outcome(acceptor.lease, event.outcome, event.now)
     held = is_held(lease, event.now)
     acceptor = evolve(acceptor, lease=lease)
     effects: list[Effect] = []
     if held and not before:
         acceptor = list_again(acceptor, event.now, pause=0.0)
-        effects.append(Note(event=LogEvent.LEASE_TAKEN, fields={}))
+        effects.append(WriteLog(event=LogEvent.LEASE_TAKEN, fields={}))
     elif before and not held:
-        effects.append(Note(event=LogEvent.LEASE_LOST, fields={}))
+        effects.append(WriteLog(event=LogEvent.LEASE_LOST, fields={}))
     return evolve(state, acceptor=acceptor), effects
 
 
@@ -291,9 +291,9 @@
     state = evolve(state, acceptor=acceptor)
     if not stored or pending is None:
         fields = {"purpose": "accept", "reason": str(event.outcome)}
-        return state, [Note(event=LogEvent.PLATFORM_FAILED, fields=fields)]
+        return state, [WriteLog(event=LogEvent.PLATFORM_FAILED, fields=fields)]
     fields = {"generation": pending.generation}
-    note = Note(event=LogEvent.CONFIGURATION_ACCEPTED, fields=fields)
+    note = WriteLog(event=LogEvent.CONFIGURATION_ACCEPTED, fields=fields)
     offered = ConfigurationOffered(configuration=pending, now=event.now)
     state, effects = take_configuration(state, offered)
     return state, [note, *effects]
--- a/shedsill/http3/_drain.py
+++ b/shedsill/http3/_drain.py
@@ -12,7 +12,7 @@
     Effect,
     Exit,
     HandOver,
-    Note,
+    WriteLog,
 )
 from shedsill.http3._events import HandoverDone
 from shedsill.http3._outcomes import Ledger, add_origin, make_transfers
@@ -39,12 +39,12 @@
     """Take no new work from now on."""
     state = evolve(state, leaving=Leaving(since=now))
     fields = {"flows": state.flows}
-    return state, [Note(event=LogEvent.DRAIN_BEGAN, fields=fields), AnnounceDrain()]
+    return state, [WriteLog(event=LogEvent.DRAIN_BEGAN, fields=fields), AnnounceDrain()]
 
 
 def _cancel_drain(state: AgentState, now: float) -> Step:
     state = evolve(state, leaving=None, started=now)
-    return state, [Note(event=LogEvent.DRAIN_CANCELLED, fields={})]
+    return state, [WriteLog(event=LogEvent.DRAIN_CANCELLED, fields={})]
 
 
 def advance_drain(state: AgentState, now: float) -> Step:
@@ -63,7 +63,7 @@
     if now - leaving.asked < HANDOVER_PAUSE and leaving.attempts:
         return state, []
     if leaving.attempts >= state.settings.handover_attempts:
-        note = Note(event=LogEvent.HANDOVER_FAILED, fields={})
+        note = WriteLog(event=LogEvent.HANDOVER_FAILED, fields={})
         state, effects = _finish_drain(state)
         return state, [note, *effects]
     return _offer_record(state, leaving, now)
@@ -124,14 +124,14 @@
     state = evolve(state, leaving=evolve(leaving, outgoing=()))
     fields = {"records": count, "successor": leaving.successor}
     state, effects = _finish_drain(state)
-    return state, [Note(event=LogEvent.OUTCOMES_HANDED, fields=fields), *effects]
+    return state, [WriteLog(event=LogEvent.OUTCOMES_HANDED, fields=fields), *effects]
 
 
 def _finish_drain(state: AgentState) -> Step:
     assert state.leaving is not None
     state = evolve(state, leaving=evolve(state.leaving, drained=True))
     effects: list[Effect] = [
-        Note(event=LogEvent.DRAIN_ENDED, fields={"upstream": state.upstream_name})
+        WriteLog(event=LogEvent.DRAIN_ENDED, fields={"upstream": state.upstream_name})
     ]
     if state.node.stopping:
         effects.append(Exit())
--- a/shedsill/http3/_effects.py
+++ b/shedsill/http3/_effects.py
@@ -5,7 +5,7 @@
 from attrs import frozen
 
 from shedsill._addresses import Address
-from shedsill._shared_effects import Exit, Note
+from shedsill._common_effects import Exit, WriteLog
 from shedsill.coordination.platform import Call
 from shedsill.http3._answers import RecordedAnswer, RequestOutcome
 from shedsill.http3._configuration import Configuration
@@ -215,6 +215,6 @@
     | DeclineRequest
     | HandOver
     | AnnounceDrain
-    | Note
+    | WriteLog
     | Exit
 )
--- a/shedsill/http3/_flows.py
+++ b/shedsill/http3/_flows.py
@@ -13,7 +13,7 @@
     Deliver,
     Effect,
     MoveReplyPath,
-    Note,
+    WriteLog,
     RefuseFlow,
     RequireRetry,
     ResetFlow,
@@ -40,11 +40,11 @@
     state = note_reply_path(state, event.source, event.now, passed=frame.passed)
     if frame.upstream != state.upstream or frame.service != state.service:
         fields = {"upstream": frame.upstream, "service": frame.service}
-        return state, [Note(event=LogEvent.DATAGRAM_MISROUTED, fields=fields)]
+        return state, [WriteLog(event=LogEvent.DATAGRAM_MISROUTED, fields=fields)]
     packet = read_packet(frame.datagram)
     if packet is None:
         fields = {"octets": len(frame.datagram)}
-        return state, [Note(event=LogEvent.DATAGRAM_MALFORMED, fields=fields)]
+        return state, [WriteLog(event=LogEvent.DATAGRAM_MALFORMED, fields=fields)]
     reply_to = frame.reply_to or event.source
     for route in state.keys.decode(packet.cid):
         if (route.upstream, route.service) != (state.upstream, state.service):
@@ -54,7 +54,7 @@
         return state, _reset_flow(packet, frame, reply_to)
     if packet.kind != PacketKind.INITIAL:
         fields = {"octets": len(frame.datagram)}
-        return state, [Note(event=LogEvent.DATAGRAM_UNROUTABLE, fields=fields)]
+        return state, [WriteLog(event=LogEvent.DATAGRAM_UNROUTABLE, fields=fields)]
     return _take_new_flow(state, event, frame, packet, reply_to)
 
 
@@ -73,7 +73,7 @@
         size=len(frame.datagram),
         reply_to=reply_to,
     )
-    return [Note(event=LogEvent.FLOW_RESET, fields={}), effect]
+    return [WriteLog(event=LogEvent.FLOW_RESET, fields={}), effect]
 
 
 def _take_new_flow(
@@ -92,7 +92,7 @@
         )
         state = evolve(state, handshakes=bucket)
         if not taken and state.leaving is None:
-            note = Note(event=LogEvent.FLOW_RETRIED, fields={})
+            note = WriteLog(event=LogEvent.FLOW_RETRIED, fields={})
             retry = RequireRetry(
                 caller=frame.caller, datagram=frame.datagram, reply_to=reply_to
             )
@@ -142,14 +142,14 @@
         state = _count_passed(state, target.number)
         state = _remember(state, packet, target.number, event.now)
         fields = {"upstream": target.name, "flows": load.flows}
-        note = Note(event=LogEvent.FLOW_PASSED, fields=fields)
+        note = WriteLog(event=LogEvent.FLOW_PASSED, fields=fields)
         return state, [note, _pass_on(state, frame, target, reply_to)]
     if state.leaving is not None or load.flows >= load.flow_limit or not load.open:
         fields = {"flows": load.flows, "limit": load.flow_limit, "open": load.open}
         refusal = RefuseFlow(
             caller=frame.caller, datagram=frame.datagram, reply_to=reply_to
         )
-        return state, [Note(event=LogEvent.FLOW_REFUSED, fields=fields), refusal]
+        return state, [WriteLog(event=LogEvent.FLOW_REFUSED, fields=fields), refusal]
     return _keep(state, event, frame, packet, reply_to)
 
 
@@ -193,7 +193,7 @@
 ) -> Step:
     state = _remember(state, packet, state.upstream, event.now)
     fields = {"caller": str(frame.caller), "flows": state.flows}
-    note = Note(event=LogEvent.FLOW_KEPT, fields=fields)
+    note = WriteLog(event=LogEvent.FLOW_KEPT, fields=fields)
     return state, [note, _deliver(frame, reply_to, fresh=True)]
 
 
@@ -285,6 +285,6 @@
             continue
         paths = paths.delete(address)
         fields = {"silent": str(address), "instead": str(best)}
-        effects.append(Note(event=LogEvent.REPLY_PATH_MOVED, fields=fields))
+        effects.append(WriteLog(event=LogEvent.REPLY_PATH_MOVED, fields=fields))
         effects.append(MoveReplyPath(old=address, new=best))
     return evolve(state, reply_paths=paths), effects
--- a/shedsill/http3/_frames.py
+++ b/shedsill/http3/_frames.py
@@ -154,7 +154,7 @@
         entry.port = report.address.port
         entry.balancer = report.balancer
         entry.incarnation = report.incarnation
-        entry.beat = report.beat
+        entry.beat = report.heartbeat_number
         entry.generation = report.generation
         entry.leaving = report.leaving
 
@@ -237,7 +237,7 @@
         address=Address(body.host, body.port),
         balancer=body.balancer,
         incarnation=body.incarnation,
-        beat=body.beat,
+        heartbeat_number=body.beat,
         generation=body.generation,
         leaving=body.leaving,
     )
--- a/shedsill/http3/_node.py
+++ b/shedsill/http3/_node.py
@@ -9,21 +9,21 @@
 from shedsill._addresses import Address
 from shedsill._catalogue import LogEvent
 from shedsill.coordination.membership import (
-    FORGET_AFTER,
-    SILENT_AFTER,
+    FORGET_AFTER_SECONDS,
+    SILENT_AFTER_SECONDS,
     Membership,
     choose_peers,
     choose_reports,
-    forget_silent,
-    list_live,
+    remove_silent_members,
+    list_live_members,
     merge_reports,
 )
 from shedsill.coordination.platform import Found, Get, StoredObject
-from shedsill.coordination.spread import (
-    Spread,
-    note_applied,
-    note_failure,
-    note_generation,
+from shedsill.coordination.propagation import (
+    Propagation,
+    record_applied,
+    record_pull_failure,
+    handle_generation,
 )
 from shedsill.errors import DecodeError
 from shedsill.http3._configuration import (
@@ -35,7 +35,7 @@
     ApplyConfiguration,
     CallPlatform,
     Effect,
-    Note,
+    WriteLog,
     PullConfiguration,
     Send,
 )
@@ -75,7 +75,7 @@
     incarnation: int
     seeds: tuple[Address, ...] = ()
     configuration: Configuration = field(factory=Configuration)
-    spread: Spread = field(factory=Spread)
+    spread: Propagation = field(factory=Propagation)
     membership: Membership = field(factory=Membership)
     beat: int = 0
     next_beat: float = 0.0
@@ -100,7 +100,7 @@
         address=node.address,
         balancer=node.balancer,
         incarnation=node.incarnation,
-        beat=node.beat,
+        heartbeat_number=node.beat,
         generation=node.configuration.generation,
         leaving=node.stopping,
     )
@@ -157,7 +157,7 @@
         node,
         beat=node.beat + 1,
         next_beat=now + BEAT_INTERVAL,
-        membership=forget_silent(node.membership, now),
+        membership=remove_silent_members(node.membership, now),
         listening_since=_find_listening_since(node, now),
     )
     peers = choose_peers(list_peers(node, now), node.address, seed)
@@ -170,7 +170,7 @@
 
 
 def _find_listening_since(node: Node, now: float) -> float | None:
-    if not list_live(node.membership, now):
+    if not list_live_members(node.membership, now):
         return None
     return now if node.listening_since is None else node.listening_since
 
@@ -182,21 +182,21 @@
     """
     if name in node.membership.members or node.listening_since is None:
         return False
-    return now - node.listening_since > FORGET_AFTER
+    return now - node.listening_since > FORGET_AFTER_SECONDS
 
 
 def _find_silent(node: Node, now: float) -> list[Effect]:
     """Note members whose silence became known since the last beat."""
     return [
-        Note(event=LogEvent.MEMBER_SILENT, fields={"node": member.report.name})
+        WriteLog(event=LogEvent.MEMBER_SILENT, fields={"node": member.report.name})
         for member in node.membership.members.values()
-        if SILENT_AFTER <= now - member.heard < SILENT_AFTER + BEAT_INTERVAL
+        if SILENT_AFTER_SECONDS <= now - member.last_heard_at < SILENT_AFTER_SECONDS + BEAT_INTERVAL
     ]
 
 
 def list_peers(node: Node, now: float) -> tuple[tuple[Address, ...], ...]:
     """Return the groups of addresses to which a heartbeat may go."""
-    live = tuple(member.report.address for member in list_live(node.membership, now))
+    live = tuple(member.report.address for member in list_live_members(node.membership, now))
     return (live, node.configuration.agent_addresses, node.seeds)
 
 
@@ -205,12 +205,12 @@
 ) -> tuple[Node, list[Effect]]:
     """Take in what any frame says: a generation, and perhaps reports."""
     effects: list[Effect] = []
-    spread, pull = note_generation(node.spread, frame.generation, source, now)
+    spread, pull = handle_generation(node.spread, frame.generation, source, now)
     if spread is not node.spread:
         node = evolve(node, spread=spread)
     if pull is not None:
         fields = {"peer": str(source), "generation": frame.generation}
-        effects.append(Note(event=LogEvent.CONFIGURATION_PULLED, fields=fields))
+        effects.append(WriteLog(event=LogEvent.CONFIGURATION_PULLED, fields=fields))
         effects.append(PullConfiguration(peer=pull.peer))
     if isinstance(frame, Heartbeat):
         node, joined = _hear_reports(node, frame, now)
@@ -225,7 +225,7 @@
     before = node.membership.members
     membership = merge_reports(node.membership, others, now)
     effects: list[Effect] = [
-        Note(
+        WriteLog(
             event=LogEvent.MEMBER_JOINED,
             fields={"node": report.name, "address": str(report.address)},
         )
@@ -240,22 +240,22 @@
 ) -> tuple[Node, list[Effect]]:
     """Apply a configuration if its generation is higher; never go back."""
     if not is_newer(configuration, node.configuration):
-        node = evolve(node, spread=note_failure(node.spread))
+        node = evolve(node, spread=record_pull_failure(node.spread))
         if configuration.generation == node.configuration.generation:
             return node, []
         fields = {
             "offered": configuration.generation,
             "generation": node.configuration.generation,
         }
-        return node, [Note(event=LogEvent.CONFIGURATION_STALE, fields=fields)]
+        return node, [WriteLog(event=LogEvent.CONFIGURATION_STALE, fields=fields)]
     node = evolve(
         node,
         configuration=configuration,
-        spread=note_applied(node.spread, configuration.generation),
+        spread=record_applied(node.spread, configuration.generation),
     )
     fields = {"generation": configuration.generation}
     return node, [
-        Note(event=LogEvent.CONFIGURATION_APPLIED, fields=fields),
+        WriteLog(event=LogEvent.CONFIGURATION_APPLIED, fields=fields),
         ApplyConfiguration(configuration=configuration),
     ]
 
--- a/shedsill/http3/_reducer.py
+++ b/shedsill/http3/_reducer.py
@@ -10,7 +10,7 @@
 
 from attrs import evolve
 
-from shedsill.coordination.spread import note_failure
+from shedsill.coordination.propagation import record_pull_failure
 from shedsill.errors import InvariantError
 from shedsill.http3 import _agent, _balancer, _drain, _requests
 from shedsill.http3._agent_state import AgentState
@@ -70,7 +70,7 @@
             offered = ConfigurationOffered(configuration=configuration, now=event.now)
             return reduce(state, offered)
         case PullFailed():
-            node = evolve(state.node, spread=note_failure(state.node.spread))
+            node = evolve(state.node, spread=record_pull_failure(state.node.spread))
             return evolve(state, node=node), []
     match state:
         case BalancerState():
--- a/shedsill/http3/_requests.py
+++ b/shedsill/http3/_requests.py
@@ -28,7 +28,7 @@
     Answer,
     DeclineRequest,
     Effect,
-    Note,
+    WriteLog,
     PassRequest,
     StartUpstream,
 )
@@ -227,7 +227,7 @@
     effect = PassRequest(
         request=request.number, peer=upstream.socket_address, upstream=target
     )
-    return state, [Note(event=LogEvent.REQUEST_PASSED, fields=fields), effect]
+    return state, [WriteLog(event=LogEvent.REQUEST_PASSED, fields=fields), effect]
 
 
 def _try_successor(state: AgentState, request: Request, departed: int) -> Step:
@@ -444,7 +444,7 @@
     if state.admission.breaker.state == before:
         return state, []
     fields = {"failures": state.admission.breaker.failures}
-    return state, [Note(event=LogEvent.BREAKER_OPENED, fields=fields)]
+    return state, [WriteLog(event=LogEvent.BREAKER_OPENED, fields=fields)]
 
 
 def _note_success(state: AgentState) -> Step:
@@ -453,4 +453,4 @@
     state = set_admission(state, note_success(state.admission))
     if not was_broken:
         return state, []
-    return state, [Note(event=LogEvent.BREAKER_CLOSED, fields={})]
+    return state, [WriteLog(event=LogEvent.BREAKER_CLOSED, fields={})]
--- a/shedsill/http3/_routing.py
+++ b/shedsill/http3/_routing.py
@@ -12,7 +12,7 @@
 from shedsill._catalogue import LogEvent
 from shedsill._limits import Bucket, Rate, take_token
 from shedsill.http3._configuration import AcceptedUpstream, Configuration
-from shedsill.http3._effects import Effect, Note, Send, SendToCaller
+from shedsill.http3._effects import Effect, WriteLog, Send, SendToCaller
 from shedsill.http3._events import CallerDatagram
 from shedsill.http3._frames import Candidate, Load, ToCaller, ToUpstream
 from shedsill.http3._keys import KeyRing
@@ -123,7 +123,7 @@
     )
     fields = {"upstream": upstream.name}
     return [
-        Note(event=LogEvent.FLOW_ROUTED, fields=fields),
+        WriteLog(event=LogEvent.FLOW_ROUTED, fields=fields),
         Send(destination=upstream.socket_address, frame=frame),
     ]
 
@@ -146,7 +146,7 @@
     effects: list[Effect] = []
     if first is not ranked[0]:
         fields = {"upstream": ranked[0].name, "instead": first.name}
-        effects.append(Note(event=LogEvent.AGENT_SUSPECTED, fields=fields))
+        effects.append(WriteLog(event=LogEvent.AGENT_SUSPECTED, fields=fields))
     frame = ToUpstream(
         generation=configuration.generation,
         service=event.service,
@@ -156,7 +156,7 @@
         alternate=alternate,
     )
     fields = {"upstream": first.name, "caller": str(event.caller)}
-    effects.append(Note(event=LogEvent.FLOW_PLACED, fields=fields))
+    effects.append(WriteLog(event=LogEvent.FLOW_PLACED, fields=fields))
     effects.append(Send(destination=first.socket_address, frame=frame))
     return note_question(router, first.number, event.now), effects
 
@@ -196,7 +196,7 @@
 ) -> immutables.Map[Caller, Bucket]:
     """Forget callers whose bucket has filled up again, or else everyone."""
     refill = rate.burst / rate.per_second
-    kept = {who: b for who, b in callers.items() if now - b.counted < refill}
+    kept = {who: b for who, b in callers.items() if now - b.updated_at < refill}
     if len(kept) >= MAX_CALLER_BUCKETS:
         return immutables.Map()
     return immutables.Map(kept)
@@ -262,6 +262,6 @@
     return evolve(router, links=links)
 
 
-def _note_drop(event: LogEvent, datagram: CallerDatagram) -> Note:
+def _note_drop(event: LogEvent, datagram: CallerDatagram) -> WriteLog:
     fields = {"caller": str(datagram.caller), "octets": len(datagram.datagram)}
-    return Note(event=event, fields=fields)
+    return WriteLog(event=event, fields=fields)
--- a/shedsill/http3/_runtime/agent.py
+++ b/shedsill/http3/_runtime/agent.py
@@ -29,7 +29,7 @@
     Effect,
     HandOver,
     MoveReplyPath,
-    Note,
+    WriteLog,
     PassRequest,
     Refuse,
     RefuseFlow,
@@ -323,7 +323,7 @@
 
     def _note_flow_failure(self, flow: int, error: Exception) -> None:
         fields = {"flow": flow, "error": f"{type(error).__name__}: {error}"}
-        self.write_note(Note(event=LogEvent.FLOW_FAILED, fields=fields))
+        self.write_note(WriteLog(event=LogEvent.FLOW_FAILED, fields=fields))
 
     def carry_out(self, effect: Effect) -> None:
         """Carry out an effect."""
--- a/shedsill/http3/_runtime/balancer.py
+++ b/shedsill/http3/_runtime/balancer.py
@@ -10,7 +10,7 @@
 
 from shedsill._addresses import Address, parse_address
 from shedsill.coordination.lease import Lease
-from shedsill.coordination.membership import list_live
+from shedsill.coordination.membership import list_live_members
 from shedsill.coordination.platform import Platform
 from shedsill.http3._acceptance import Acceptor
 from shedsill.http3._balancer import BalancerSettings, BalancerState
@@ -120,7 +120,7 @@
             "shedsill_live_nodes", "Nodes heard of", registry=notebook.registry
         )
         members.set_function(
-            lambda: len(list_live(self.node_state.node.membership, self.now))
+            lambda: len(list_live_members(self.node_state.node.membership, self.now))
         )
         self.control = self.add_dependency(
             ControlServer(
@@ -133,12 +133,12 @@
         )
 
     def _count_members(self) -> int:
-        return len(list_live(self.node_state.node.membership, self.now))
+        return len(list_live_members(self.node_state.node.membership, self.now))
 
     def get_status(self) -> dict[str, Any]:
         """Return what ``/status`` shows."""
         node = self.node_state.node
-        reports = [m.report for m in list_live(node.membership, self.now)]
+        reports = [m.report for m in list_live_members(node.membership, self.now)]
         return {
             "name": node.name,
             "role": "balancer",
--- a/shedsill/http3/_runtime/certificates.py
+++ b/shedsill/http3/_runtime/certificates.py
@@ -16,7 +16,7 @@
 from shedsill._catalogue import LogEvent
 from shedsill.coordination.platform import Found, Get, Platform
 from shedsill.errors import SettingError
-from shedsill.http3._effects import Note
+from shedsill.http3._effects import WriteLog
 
 CERTIFICATE_KIND = "certificate"
 PLATFORM_PREFIX = "platform:"
@@ -54,7 +54,7 @@
 
     async def load(
         self, platform: Platform
-    ) -> tuple[Note | None, LoadedCertificate | None]:
+    ) -> tuple[WriteLog | None, LoadedCertificate | None]:
         """Return a note and the certificate, where it has changed."""
         try:
             texts = await self._read(platform)
@@ -69,7 +69,7 @@
             return _make_failure(str(error)), None
         self._seen = digest
         fields = {"digest": digest[:12]}
-        return Note(event=LogEvent.CERTIFICATE_LOADED, fields=fields), loaded
+        return WriteLog(event=LogEvent.CERTIFICATE_LOADED, fields=fields), loaded
 
     async def _read(self, platform: Platform) -> tuple[str, str] | None:
         if self.certificate.startswith(PLATFORM_PREFIX):
@@ -111,8 +111,8 @@
         raise SettingError(setting, shown, allowed) from None
 
 
-def _make_failure(reason: str) -> Note:
-    return Note(event=LogEvent.CERTIFICATE_FAILED, fields={"reason": reason})
+def _make_failure(reason: str) -> WriteLog:
+    return WriteLog(event=LogEvent.CERTIFICATE_FAILED, fields={"reason": reason})
 
 
 __all__ = [
--- a/shedsill/http3/_runtime/connections.py
+++ b/shedsill/http3/_runtime/connections.py
@@ -7,14 +7,14 @@
 
 import aiohttp
 
-from shedsill._connections import watch_connection
+from shedsill._connections import enable_keepalive
 
 
 def _open_socket(address: tuple[Any, ...]) -> socket.socket:
     """Return a socket for one entry of `socket.getaddrinfo`."""
     family, kind, protocol, _name, _address = address
     sock = socket.socket(family=family, type=kind, proto=protocol)
-    watch_connection(sock)
+    enable_keepalive(sock)
     return sock
 
 
--- a/shedsill/http3/_runtime/driver.py
+++ b/shedsill/http3/_runtime/driver.py
@@ -22,7 +22,7 @@
     CallPlatform,
     Effect,
     Exit,
-    Note,
+    WriteLog,
     PullConfiguration,
     Send,
 )
@@ -119,7 +119,7 @@
         )
         enlarge_buffers(self._transport)
         fields = {"name": self.node_state.node.name, "address": str(address)}
-        self.write_note(Note(event=LogEvent.NODE_STARTED, fields=fields))
+        self.write_note(WriteLog(event=LogEvent.NODE_STARTED, fields=fields))
 
     async def on_stop(self) -> None:
         """Close sockets and end tasks."""
@@ -159,7 +159,7 @@
         """Stop the process: whatever escapes a reducer breaks an invariant."""
         self.failure = error
         fields = {"error": f"{type(error).__name__}: {error}"}
-        self.write_note(Note(event=LogEvent.INVARIANT_BROKEN, fields=fields))
+        self.write_note(WriteLog(event=LogEvent.INVARIANT_BROKEN, fields=fields))
         self.exited.set()
 
     def receive_frame(self, data: bytes, source: Address) -> None:
@@ -168,7 +168,7 @@
             frame = decode_frame(self.keys, data)
         except DecodeError:
             fields = {"source": str(source), "octets": len(data)}
-            self.write_note(Note(event=LogEvent.FRAME_REFUSED, fields=fields))
+            self.write_note(WriteLog(event=LogEvent.FRAME_REFUSED, fields=fields))
             return
         self.dispatch(FrameReceived(frame=frame, source=source, now=self.now))
 
@@ -180,14 +180,14 @@
                 if isinstance(frame, Heartbeat):
                     self._control_octets.inc(len(envelope))
                 self.send_envelope(destination, envelope)
-            case Note():
+            case WriteLog():
                 self.write_note(effect)
             case CallPlatform():
                 self.run(self._call_platform(effect))
             case PullConfiguration(peer=peer):
                 self.run(self._pull_configuration(peer))
             case Exit():
-                self.write_note(Note(event=LogEvent.NODE_STOPPED, fields={}))
+                self.write_note(WriteLog(event=LogEvent.NODE_STOPPED, fields={}))
                 self.exited.set()
             case _:
                 raise InvariantError(f"no way to carry out {type(effect).__name__}")
@@ -197,7 +197,7 @@
         if self._transport is not None and not self._transport.is_closing():
             self._transport.sendto(envelope, destination.pair)
 
-    def write_note(self, note: Note) -> None:
+    def write_note(self, note: WriteLog) -> None:
         """Log and count a note."""
         if note.event == LogEvent.CONFIGURATION_APPLIED:
             self._generation.set(note.fields["generation"])
@@ -215,7 +215,7 @@
         if task.cancelled() or task.exception() is None:
             return
         fields = {"error": repr(task.exception())}
-        self.write_note(Note(event=LogEvent.TASK_FAILED, fields=fields))
+        self.write_note(WriteLog(event=LogEvent.TASK_FAILED, fields=fields))
 
     async def _call_platform(self, effect: CallPlatform) -> None:
         outcome = await self.platform.call(effect.call)
--- a/shedsill/http3/_runtime/notes.py
+++ b/shedsill/http3/_runtime/notes.py
@@ -1,4 +1,4 @@
-"""Log lines and event counters, one for each `Note`.
+"""Log lines and event counters, one for each `WriteLog`.
 
 Each event is counted.  Lines below the level that the operator set are not
 written; of TRACE and DEBUG lines one in `sample` is; and no event writes more
@@ -16,7 +16,7 @@
 from prometheus_client import CollectorRegistry, Counter
 
 from shedsill._catalogue import Level, LogEvent
-from shedsill.http3._effects import Note
+from shedsill.http3._effects import WriteLog
 
 MAX_LINES_PER_SECOND = 50
 SAMPLED = (Level.TRACE, Level.DEBUG)
@@ -79,7 +79,7 @@
             if logger.level(event.value.level.value).no >= threshold:
                 self._written.add(event)
 
-    def write(self, note: Note, now: float) -> None:
+    def write(self, note: WriteLog, now: float) -> None:
         """Count a note and write its line, where it is wanted."""
         self._counters[note.event].inc()
         if note.event not in self._written:
--- a/shedsill/http3/_settling.py
+++ b/shedsill/http3/_settling.py
@@ -20,7 +20,7 @@
 )
 from shedsill.http3._agent_state import AgentState
 from shedsill.http3._answers import RecordedAnswer, RequestOutcome
-from shedsill.http3._effects import Answer, CutAnswer, Effect, Note, Refuse
+from shedsill.http3._effects import Answer, CutAnswer, Effect, WriteLog, Refuse
 from shedsill.http3._events import (
     RequestArrived,
 )
@@ -94,7 +94,7 @@
         state, waiter = take_out(state, number)
         refused = waiter or evolve(request, number=number)
         fields = {**describe_request(refused), "reason": reason}
-        effects.append(Note(event=LogEvent.REQUEST_REFUSED, fields=fields))
+        effects.append(WriteLog(event=LogEvent.REQUEST_REFUSED, fields=fields))
         effects.append(
             Refuse(
                 request=number,
@@ -219,6 +219,6 @@
     return {"request": request.number, "class": request.request_class.name}
 
 
-def note_request(event: LogEvent, request: Request) -> Note:
+def note_request(event: LogEvent, request: Request) -> WriteLog:
     """Return a log line about a request."""
-    return Note(event=event, fields=describe_request(request))
+    return WriteLog(event=event, fields=describe_request(request))
--- a/shedsill/platform/heartbeats.py
+++ b/shedsill/platform/heartbeats.py
@@ -11,7 +11,7 @@
 
 __all__ = ["InstanceCalls"]
 
-INSTANCES = "/-/instances/"
+INSTANCES_PATH = "/-/instances/"
 
 
 class _Beat(Struct, frozen=True, kw_only=True):
@@ -41,18 +41,18 @@
         self, method: str, path: str, body: bytes, now: float
     ) -> Heartbeat | UpstreamLeft | None:
         """Read one call; None if it is not about an instance."""
-        boot = path.partition("?")[0].removeprefix(INSTANCES)
+        boot = path.partition("?")[0].removeprefix(INSTANCES_PATH)
         if boot == path or not boot:
             return None
         match method:
             case "PUT":
-                return _read_beat(boot, body)
+                return _decode_heartbeat(boot, body)
             case "DELETE":
                 return UpstreamLeft(boot=boot, now=now)
         return None
 
 
-def _read_beat(boot: str, body: bytes) -> Heartbeat:
+def _decode_heartbeat(boot: str, body: bytes) -> Heartbeat:
     try:
         beat = _DECODER.decode(body)
     except msgspec.MsgspecError as error:
--- a/shedsill/platform/manifest.py
+++ b/shedsill/platform/manifest.py
@@ -76,19 +76,19 @@
         manifest = msgspec.convert(value, _Manifest)
         return ForwardingTable(
             version=manifest.version,
-            routes={_read_endpoint(r): _read_route(r) for r in manifest.routes},
+            routes={_parse_endpoint(r): _build_route(r) for r in manifest.routes},
             idle_timeout=manifest.limits.idle_timeout_ms / 1000,
         )
     except (msgspec.ValidationError, OSError, ValueError, struct.error) as error:
         raise DecodeError(f"not a configuration: {error}") from error
 
 
-def _read_endpoint(route: _Route) -> bytes:
+def _parse_endpoint(route: _Route) -> bytes:
     port = int(route.path_prefix.strip("/"))
     return socket.inet_aton(route.host) + struct.pack(">H", port)
 
 
-def _read_route(route: _Route) -> Route:
+def _build_route(route: _Route) -> Route:
     shares = tuple(
         ServiceShare(service=b.service, weight=b.weight) for b in route.backends
     )
--- a/shedsill/platform/node.py
+++ b/shedsill/platform/node.py
@@ -13,7 +13,7 @@
 from shedsill.datagram._messages import Role
 from shedsill.datagram._runtime.node import Node
 from shedsill.errors import SettingError
-from shedsill.platform.packets import HeadCodec
+from shedsill.platform.packets import HeaderCodec
 from shedsill.platform.settings import PlatformSettings, SettingsFile
 from shedsill.platform.store import ObjectStore
 
@@ -21,29 +21,29 @@
 EXIT_USAGE = 2
 
 
-def make_node(file: SettingsFile, settings: PlatformSettings) -> Node:
+def create_node(file: SettingsFile, settings: PlatformSettings) -> Node:
     """Return the node of a role, importing only what it needs."""
     store = ObjectStore(settings.store)
     match settings.node.role:
         case Role.BALANCER:
-            from shedsill.datagram._runtime.balancer import make_balancer
+            from shedsill.datagram._runtime.balancer import create_balancer
             from shedsill.platform.manifest import TABLE_SOURCE
 
-            return make_balancer(
+            return create_balancer(
                 settings.node,
                 source=file,
-                codec=HeadCodec(),
+                codec=HeaderCodec(),
                 platform=store,
                 table=TABLE_SOURCE,
             )
         case Role.AGENT:
-            from shedsill.datagram._runtime.agent import make_agent
+            from shedsill.datagram._runtime.agent import create_agent
             from shedsill.platform.heartbeats import InstanceCalls
 
-            return make_agent(
+            return create_agent(
                 settings.node,
                 source=file,
-                codec=HeadCodec(),
+                codec=HeaderCodec(),
                 platform=store,
                 heartbeats=InstanceCalls(),
             )
@@ -51,7 +51,7 @@
 
 async def run_node(file: SettingsFile, settings: PlatformSettings) -> int:
     """Run until the planned stop is complete; return the exit code."""
-    node = make_node(file, settings)
+    node = create_node(file, settings)
     gc.freeze()
     gc.enable()
     await node.run()
--- a/shedsill/platform/packets.py
+++ b/shedsill/platform/packets.py
@@ -18,18 +18,18 @@
 from shedsill.datagram._forwarding import Route
 from shedsill.datagram._packet import ACK, BOUNCED, FIN, RST, SYN, Packet
 
-__all__ = ["HeadCodec"]
+__all__ = ["HeaderCodec"]
 
-HEAD_LENGTH = 36
-NUMBERS = struct.Struct(">HHIHIIII")
+HEADER_BYTES = 36
+LENGTH_TO_ACK = struct.Struct(">HHIHIIII")
 """Length, source port, destination, destination port, source, echo, sequence
 number and acknowledgement, from octet 6 on."""
-WORD = struct.Struct(">I")
-TIMES = struct.Struct(">HH")
+UINT32 = struct.Struct(">I")
+ROUTE_TIMES = struct.Struct(">HH")
 """A route's timeout and latency objective in milliseconds."""
-MAX_TIME = 0xFFFF
-NO_PAD = bytes(5)
-NO_ECHO = bytes(4)
+MAX_TIME_MILLISECONDS = 0xFFFF
+EMPTY_PAD = bytes(5)
+EMPTY_ECHO = bytes(4)
 
 BULK_BIT = 0x80
 URGENCY_SHIFT = 4
@@ -42,10 +42,10 @@
 _FLAGS = [
     sum(flag for bit, flag in _FLAG_BITS.items() if octet & bit) for octet in range(256)
 ]
-RESET_OCTET = 32
+RESET_FLAGS = 32
 
 
-class HeadCodec:
+class HeaderCodec:
     """Implements `shedsill.datagram.adapter.PacketCodec`.
 
     A flow's key is the head's octets 8 to 20 as the caller writes them: its
@@ -54,10 +54,10 @@
 
     def decode_caller(self, data: bytes) -> Packet | None:
         """Read a packet from a caller; None if it is too short."""
-        if len(data) < HEAD_LENGTH:
+        if len(data) < HEADER_BYTES:
             return None
         flags = _FLAGS[data[0]]
-        length, seq, ack = _read_numbers(data)
+        length, seq, ack = _decode_numbers(data)
         # In a caller's opening packet, the acknowledgement counts its copies.
         copy = ack if flags == SYN else 0
         return Packet(data[8:20], data[10:16], flags, copy, seq, ack, length, data)
@@ -69,18 +69,18 @@
             return None
         packet.bulk = bool(data[1] & BULK_BIT)
         packet.urgency = data[1] >> URGENCY_SHIFT & MAX_URGENCY
-        timeout, objective = TIMES.unpack_from(data, 20)
+        timeout, objective = ROUTE_TIMES.unpack_from(data, 20)
         packet.timeout = timeout / 1000
         packet.objective = objective / 1000
-        return packet, WORD.unpack_from(data, 2)[0]
+        return packet, UINT32.unpack_from(data, 2)[0]
 
     def decode_upstream(self, data: bytes) -> Packet | None:
         """Read a packet from an upstream, or one that it bounced."""
-        if len(data) < HEAD_LENGTH:
+        if len(data) < HEADER_BYTES:
             return None
         if data[0] & BOUNCED_BIT:
             return self._decode_bounced(data)
-        length, seq, ack = _read_numbers(data)
+        length, seq, ack = _decode_numbers(data)
         flow = data[14:16] + data[16:20] + data[8:10] + data[10:14]
         return Packet(flow, flow[2:8], _FLAGS[data[0]], 0, seq, ack, length, data)
 
@@ -98,20 +98,20 @@
     ) -> bytes:
         """Write a caller's packet for an agent."""
         data = packet.data
-        pad = _mark_route(route) + WORD.pack(service)
-        return data[:1] + pad + data[6:20] + _pack_times(route) + data[24:]
+        pad = _encode_route(route) + UINT32.pack(service)
+        return data[:1] + pad + data[6:20] + _encode_times(route) + data[24:]
 
     def encode_for_upstream(self, packet: Packet, balancer: str) -> bytes:
         """Write a caller's packet for the upstream."""
         data = packet.data
         echo = socket.inet_aton(balancer)
-        return data[:1] + NO_PAD + data[6:20] + echo + data[24:]
+        return data[:1] + EMPTY_PAD + data[6:20] + echo + data[24:]
 
     def encode_reset(self, flow: bytes, seq: int) -> bytes:
         """Write a reset: no content, sum 0, from the service to the caller."""
         ports_and_addresses = flow[6:8] + flow[8:12] + flow[0:2] + flow[2:6]
-        head = bytes([RESET_OCTET]) + NO_PAD + b"\0\0" + ports_and_addresses
-        return head + NO_ECHO + WORD.pack(seq) + bytes(8)
+        head = bytes([RESET_FLAGS]) + EMPTY_PAD + b"\0\0" + ports_and_addresses
+        return head + EMPTY_ECHO + UINT32.pack(seq) + bytes(8)
 
     def get_caller(self, flow: bytes) -> str:
         """Return the host of the flow's caller."""
@@ -123,7 +123,7 @@
         Examples
         --------
         >>> flow = bytes.fromhex("9c41c612000101bb64400007")
-        >>> HeadCodec().describe_flow(flow)
+        >>> HeaderCodec().describe_flow(flow)
         '100.64.0.7:40001>198.18.0.1:443'
         """
         caller_port, service_port = struct.unpack(">H4xH", flow[:8])
@@ -132,7 +132,7 @@
         return f"{caller}:{caller_port}>{service}:{service_port}"
 
 
-def _mark_route(route: Route | None) -> bytes:
+def _encode_route(route: Route | None) -> bytes:
     if route is None:
         return b"\0"
     bulk = BULK_BIT if route.bulk else 0
@@ -140,13 +140,13 @@
     return bytes([bulk | urgency << URGENCY_SHIFT])
 
 
-def _pack_times(route: Route | None) -> bytes:
+def _encode_times(route: Route | None) -> bytes:
     if route is None:
-        return NO_ECHO
+        return EMPTY_ECHO
     times = (route.timeout, route.objective)
-    return TIMES.pack(*(min(round(seconds * 1000), MAX_TIME) for seconds in times))
+    return ROUTE_TIMES.pack(*(min(round(seconds * 1000), MAX_TIME_MILLISECONDS) for seconds in times))
 
 
-def _read_numbers(data: bytes) -> tuple[int, int, int]:
-    numbers = NUMBERS.unpack_from(data, 6)
+def _decode_numbers(data: bytes) -> tuple[int, int, int]:
+    numbers = LENGTH_TO_ACK.unpack_from(data, 6)
     return numbers[0], numbers[6], numbers[7]
--- a/shedsill/platform/settings.py
+++ b/shedsill/platform/settings.py
@@ -16,8 +16,8 @@
 
 PATH_VARIABLE = "SHEDSILL_BOOT"
 READINESS_PATH = "/-/ready"
-METRICS_VARIABLE = "SHEDSILL_METRICS_PORT"
-STOP_MARGIN = 1.0
+METRICS_PORT_VARIABLE = "SHEDSILL_METRICS_PORT"
+STOP_MARGIN_SECONDS = 1.0
 """Seconds before the platform's SIGKILL at which a planned stop is over."""
 
 
@@ -89,7 +89,7 @@
         self._role = role
         # pathlib would cost 6 ms at each start, and nothing else here uses it.
         self._path = os.environ.get(PATH_VARIABLE, "")
-        self._seen = 0.0
+        self._modified_at = 0.0
 
     def read(self) -> NodeSettings:
         """Read and check the node's settings; raises `SettingError`."""
@@ -98,7 +98,7 @@
     def read_all(self) -> PlatformSettings:
         """Read and check everything; raises `SettingError`."""
         try:
-            self._seen = os.stat(self._path).st_mtime
+            self._modified_at = os.stat(self._path).st_mtime
             with open(self._path, "rb") as file:
                 text = file.read()
         except OSError as error:
@@ -109,7 +109,7 @@
     def has_changed(self) -> bool:
         """Whether the file was written since it was read last."""
         try:
-            return os.stat(self._path).st_mtime != self._seen
+            return os.stat(self._path).st_mtime != self._modified_at
         except OSError:
             # Being replaced at this moment; the next look will find it.
             return False
@@ -120,7 +120,7 @@
     try:
         file = msgspec.json.decode(text, type=_File)
         return PlatformSettings(
-            node=_make_node_settings(file, role),
+            node=_build_node_settings(file, role),
             store=parse_address(file.platform.addr, field="platform.addr"),
         )
     except msgspec.MsgspecError as error:
@@ -129,7 +129,7 @@
         raise SettingError(error.field, error.value, error.allowed) from error
 
 
-def _make_node_settings(file: _File, role: Role) -> NodeSettings:
+def _build_node_settings(file: _File, role: Role) -> NodeSettings:
     packets = parse_address(file.listen.packet_addr, field="listen.packet_addr")
     agent = role == Role.AGENT
     seeds = [parse_address(seed, field="seeds").host for seed in file.seeds]
@@ -144,28 +144,28 @@
         caller_port=packets.port,
         status=parse_address(file.listen.ready, field="listen.ready"),
         readiness_path=READINESS_PATH,
-        service=_require("service", file.service) if agent else "",
-        heartbeats=_read_optional("listen.control", file.listen.control),
+        service=_require_name("service", file.service) if agent else "",
+        heartbeats=_parse_optional_address("listen.control", file.listen.control),
         upstream=parse_address(file.app, field="app") if agent else None,
-        outbound=_read_optional("listen.outbound", file.listen.outbound),
-        metrics=_read_metrics(file.ip),
+        outbound=_parse_optional_address("listen.outbound", file.listen.outbound),
+        metrics=_read_metrics_address(file.ip),
         seeds=tuple(seeds),
         first_start=file.bootstrap,
         flow_lifetime=file.bounds.flow_ttl_s,
-        stop_limit=max(file.bounds.grace_s - STOP_MARGIN, 0.0),
+        stop_limit=max(file.bounds.grace_s - STOP_MARGIN_SECONDS, 0.0),
     )
 
 
-def _require(name: str, value: str) -> str:
+def _require_name(name: str, value: str) -> str:
     if not value:
         raise SettingError(name, value, "a name")
     return value
 
 
-def _read_optional(name: str, text: str) -> Address | None:
+def _parse_optional_address(name: str, text: str) -> Address | None:
     return parse_address(text, field=name) if text else None
 
 
-def _read_metrics(host: str) -> Address | None:
-    port = os.environ.get(METRICS_VARIABLE, "")
-    return parse_address(f"{host}:{port}", field=METRICS_VARIABLE) if port else None
+def _read_metrics_address(host: str) -> Address | None:
+    port = os.environ.get(METRICS_PORT_VARIABLE, "")
+    return parse_address(f"{host}:{port}", field=METRICS_PORT_VARIABLE) if port else None
--- a/shedsill/platform/store.py
+++ b/shedsill/platform/store.py
@@ -34,17 +34,17 @@
 
 __all__ = ["ObjectStore"]
 
-CALL_TIMEOUT = 0.8
+CALL_TIMEOUT_SECONDS = 0.8
 """Seconds for one call; the store answers in 4 ms, and in 0.3 s when slow.  A call
 that fell into an outage must not be waited for long after it."""
 
-WATCH_MARGIN = 0.8
+WATCH_MARGIN_SECONDS = 0.8
 """Seconds beyond its patience in which a watch has to answer, as any call."""
 
 T = TypeVar("T")
 
-ROOT = "/-/objects"
-OK = (200, 201)
+OBJECTS_PATH = "/-/objects"
+SUCCESS_STATUSES = (200, 201)
 NOT_FOUND = 404
 CONFLICT = 409
 GONE = 410
@@ -141,58 +141,58 @@
                 return Unavailable(reason="this platform keeps no list of VMs")
 
     async def _get(self, kind: str, name: str) -> Outcome:
-        response = await self._request("GET", f"{ROOT}/{kind}/{name}")
+        response = await self._request("GET", f"{OBJECTS_PATH}/{kind}/{name}")
         if response.status == NOT_FOUND:
             return Found(object=None)
-        return Found(object=_make_object(kind, _read_body(response, _Object)))
+        return Found(object=_build_object(kind, _decode_body(response, _Object)))
 
     async def _list(self, kind: str) -> Outcome:
         objects: list[StoredObject] = []
-        target = f"{ROOT}/{kind}"
+        target = f"{OBJECTS_PATH}/{kind}"
         while True:
-            page = _read_body(await self._request("GET", target), _Page)
-            objects += [_make_object(kind, item) for item in page.items]
+            page = _decode_body(await self._request("GET", target), _Page)
+            objects += [_build_object(kind, item) for item in page.items]
             if not (page.truncated and page.items):
                 break
-            target = f"{ROOT}/{kind}?after={objects[-1].name}"
+            target = f"{OBJECTS_PATH}/{kind}?after={objects[-1].name}"
         return Listing(objects=tuple(objects), revision=page.current_rev)
 
     async def _watch(self, kind: str, call: Watch) -> Outcome:
         wait = int(call.patience * 1000)
-        target = f"{ROOT}/{kind}?watch={call.revision}&wait_ms={wait}"
-        timeout = call.patience + WATCH_MARGIN
+        target = f"{OBJECTS_PATH}/{kind}?watch={call.revision}&wait_ms={wait}"
+        timeout = call.patience + WATCH_MARGIN_SECONDS
         response = await self._request("GET", target, timeout=timeout)
         if response.status == GONE:
             return HistoryGone()
-        body = _read_body(response, _Events)
+        body = _decode_body(response, _Events)
         latest = {event.object.meta.name: event for event in body.events}
         alive = [e.object for e in latest.values() if not e.deleted]
         deleted = [name for name, event in latest.items() if event.deleted]
         return Changed(
             names=tuple(f"{kind}/{name}" for name in latest),
             revision=body.current_rev,
-            objects=tuple(_make_object(kind, item) for item in alive),
+            objects=tuple(_build_object(kind, item) for item in alive),
             deleted=tuple(deleted),
         )
 
     async def _put(self, call: Put) -> Outcome:
         meta: dict[str, Any] = {"name": call.name, "finalizers": []}
-        target = f"{ROOT}/{call.kind}"
+        target = f"{OBJECTS_PATH}/{call.kind}"
         method = "POST"
         if call.expected:
             meta["rev"] = call.expected
             target = f"{target}/{call.name}"
             method = "PUT"
         body = msgspec.json.encode({"meta": meta, "spec": call.value, "status": None})
-        return _read_write(call.kind, await self._request(method, target, body))
+        return _decode_write_outcome(call.kind, await self._request(method, target, body))
 
     async def _delete(self, call: Delete) -> Outcome:
-        target = f"{ROOT}/{call.kind}/{call.name}?rev={call.expected}"
+        target = f"{OBJECTS_PATH}/{call.kind}/{call.name}?rev={call.expected}"
         response = await self._request("DELETE", target)
-        if response.status in OK:
+        if response.status in SUCCESS_STATUSES:
             # The object is gone, whatever the answer says of it.
             return Stored(version=0)
-        return _read_write(call.kind, response)
+        return _decode_write_outcome(call.kind, response)
 
     async def _request(
         self,
@@ -200,27 +200,27 @@
         target: str,
         body: bytes | None = None,
         *,
-        timeout: float = CALL_TIMEOUT,
+        timeout: float = CALL_TIMEOUT_SECONDS,
     ) -> Response:
         return await self._client.request(method, target, body, timeout=timeout)
 
 
-def _read_body(response: Response, form: type[T]) -> T:
-    if response.status not in OK:
+def _decode_body(response: Response, form: type[T]) -> T:
+    if response.status not in SUCCESS_STATUSES:
         raise UnusableAnswerError(f"status {response.status}")
     return msgspec.json.decode(response.body, type=form)
 
 
-def _read_write(kind: str, response: Response) -> Outcome:
+def _decode_write_outcome(kind: str, response: Response) -> Outcome:
     if response.status == NOT_FOUND:
         return Conflict(current=None)
     if response.status == CONFLICT:
         current = msgspec.json.decode(response.body, type=_Object)
-        return Conflict(current=_make_object(kind, current))
-    return Stored(version=_read_body(response, _Object).meta.rev)
+        return Conflict(current=_build_object(kind, current))
+    return Stored(version=_decode_body(response, _Object).meta.rev)
 
 
-def _make_object(kind: str, item: _Object) -> StoredObject:
+def _build_object(kind: str, item: _Object) -> StoredObject:
     return StoredObject(
         kind=kind, name=item.meta.name, version=item.meta.rev, value=item.spec
     )
--- a/shedsill/testing/datagrams.py
+++ b/shedsill/testing/datagrams.py
@@ -17,7 +17,7 @@
 
 from attrs import define, field
 
-from shedsill._shared_effects import Note
+from shedsill._common_effects import WriteLog
 from shedsill.datagram import _agent, _balancer
 from shedsill.datagram._agent_state import AgentState
 from shedsill.datagram._balancer_state import BalancerState
@@ -140,7 +140,7 @@
     seeds: tuple[str, ...] = ()
     is_lost: Callable[[str, str], bool] = field(default=lambda source, host: False)
     table: ForwardingTable = field(factory=ForwardingTable)
-    notes: list[tuple[str, Note]] = field(factory=list)
+    notes: list[tuple[str, WriteLog]] = field(factory=list)
     messages: collections.Counter = field(factory=collections.Counter)
     _queue: list = field(factory=list)
     _numbers: itertools.count = field(factory=itertools.count)
@@ -442,7 +442,7 @@
             case PullTable():
                 offered = TableOffered(table=self.table, source="peer", now=self.now)
                 self._schedule(LATENCY, lambda: self._dispatch(host, offered))
-            case Note():
+            case WriteLog():
                 self.notes.append((host, effect))
 
     def _tell_earlier(self, host: str, report: NodeReport, *, at_start: bool) -> None:
--- a/shedsill/testing/flow_peers.py
+++ b/shedsill/testing/flow_peers.py
@@ -16,10 +16,10 @@
 
 from shedsill.datagram._messages import UpstreamState
 from shedsill.datagram._packet import ACK, BOUNCED, RST, SEQUENCE_SPACE, SYN, Packet
-from shedsill.platform.packets import HeadCodec
+from shedsill.platform.packets import HeaderCodec
 from shedsill.testing.parts import OracleError
 
-CODEC = HeadCodec()
+CODEC = HeaderCodec()
 BITS = {SYN: 4, ACK: 128, RST: 32, BOUNCED: 2}
 COPY_TIMES = (0.2, 0.6)
 OPENING_LIMIT = 1.4
--- a/shedsill/testing/weakened.py
+++ b/shedsill/testing/weakened.py
@@ -20,13 +20,13 @@
 
 def change_content() -> None:
     """Write a wrong octet into each packet for an upstream."""
-    encode = packets.HeadCodec.encode_for_upstream
+    encode = packets.HeaderCodec.encode_for_upstream
 
     def encode_wrongly(self, packet, balancer: str) -> bytes:
         data = encode(self, packet, balancer)
         return data[:27] + bytes([data[27] ^ 1]) + data[28:]
 
-    packets.HeadCodec.encode_for_upstream = encode_wrongly
+    packets.HeaderCodec.encode_for_upstream = encode_wrongly
 
 
 def mix_services() -> None:
--- a/shedsill/tests/test_acceptance.py
+++ b/shedsill/tests/test_acceptance.py
@@ -15,7 +15,7 @@
 from shedsill._addresses import Address
 from shedsill.coordination.lease import Lease
 from shedsill.coordination.membership import (
-    FORGET_AFTER,
+    FORGET_AFTER_SECONDS,
     Member,
     Membership,
     NodeReport,
@@ -48,10 +48,10 @@
                 address=ADDRESS,
                 balancer=False,
                 incarnation=1,
-                beat=int(now),
+                heartbeat_number=int(now),
                 generation=1,
             ),
-            heard=now,
+            last_heard_at=now,
         )
         for name in heard
     }
@@ -81,7 +81,7 @@
     return evolve(node, membership=make_node(now, *heard).membership)
 
 
-@pytest.mark.parametrize("listening", [0.0, FORGET_AFTER / 2])
+@pytest.mark.parametrize("listening", [0.0, FORGET_AFTER_SECONDS / 2])
 def test_an_upstream_never_heard_of_by_a_new_acceptor_is_not_drained(
     listening: float,
 ) -> None:
@@ -92,22 +92,22 @@
 
 def test_one_that_nobody_heard_of_for_a_minute_is_drained() -> None:
     node = make_node(100.0, "dispatcher-2")
-    for second in range(int(FORGET_AFTER) + 2):
+    for second in range(int(FORGET_AFTER_SECONDS) + 2):
         node = beat(node, 100.0 + second, "dispatcher-2")
-    assert is_taken_out(node, 101.0 + FORGET_AFTER, "dispatcher-2")
+    assert is_taken_out(node, 101.0 + FORGET_AFTER_SECONDS, "dispatcher-2")
 
 
 def test_a_minute_in_which_the_acceptor_heard_nobody_does_not_count() -> None:
     node = make_node(100.0, "dispatcher-2")
-    for second in range(int(FORGET_AFTER) + 2):
+    for second in range(int(FORGET_AFTER_SECONDS) + 2):
         node = beat(node, 100.0 + second)
-    node = beat(node, 102.0 + FORGET_AFTER, "dispatcher-2")
-    assert not is_taken_out(node, 102.0 + FORGET_AFTER, "dispatcher-2")
+    node = beat(node, 102.0 + FORGET_AFTER_SECONDS, "dispatcher-2")
+    assert not is_taken_out(node, 102.0 + FORGET_AFTER_SECONDS, "dispatcher-2")
 
 
 def test_one_that_the_platform_lists_is_never_taken_out() -> None:
     node = make_node(100.0, "dispatcher-2")
-    for second in range(int(FORGET_AFTER) + 2):
+    for second in range(int(FORGET_AFTER_SECONDS) + 2):
         node = beat(node, 100.0 + second, "dispatcher-2")
-    now = 101.0 + FORGET_AFTER
+    now = 101.0 + FORGET_AFTER_SECONDS
     assert not is_taken_out(node, now, "dispatcher-1", "dispatcher-2")
--- a/shedsill/tests/test_checkpoint_store.py
+++ b/shedsill/tests/test_checkpoint_store.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from shedsill._shared_effects import Note
+from shedsill._common_effects import WriteLog
 from shedsill.coordination import MemoryPlatform
 from shedsill.coordination.platform import Get, Put, Unavailable
 from shedsill.datagram._messages import OpenFlow
@@ -31,7 +31,7 @@
 
     def __init__(self) -> None:
         self.taken: list[tuple[dict, bool]] = []
-        self.notes: list[Note] = []
+        self.notes: list[WriteLog] = []
         self.ages: list[float] = []
 
     def take(self, parts: dict, age: float, at_start: bool) -> None:
@@ -39,7 +39,7 @@
         self.ages.append(age)
 
     def make_store(self, platform) -> CheckpointStore:
-        return CheckpointStore(platform, write_note=self.notes.append, take=self.take)
+        return CheckpointStore(platform, write_log=self.notes.append, handle_checkpoint=self.take)
 
 
 def test_what_was_written_is_read_by_another_run() -> None:
--- a/shedsill/tests/test_datagram_bounds.py
+++ b/shedsill/tests/test_datagram_bounds.py
@@ -7,17 +7,17 @@
 from __future__ import annotations
 
 from shedsill._connections import (
-    KEEPALIVE_IDLE,
-    KEEPALIVE_INTERVAL,
+    KEEPALIVE_IDLE_SECONDS,
+    KEEPALIVE_INTERVAL_SECONDS,
     KEEPALIVE_PROBES,
-    USER_TIMEOUT,
+    USER_TIMEOUT_MILLISECONDS,
 )
 from shedsill.datagram._nodes import LOST_AFTER
 from shedsill.datagram._roster import PULL_AFTER
 from shedsill.datagram._runtime import balancer, reports
-from shedsill.datagram._runtime.node import TICK_INTERVAL
-from shedsill.datagram._runtime.tables import TABLE_RATE, pack_table
-from shedsill.platform.store import CALL_TIMEOUT, WATCH_MARGIN
+from shedsill.datagram._runtime.node import TICK_INTERVAL_SECONDS
+from shedsill.datagram._runtime.tables import TABLE_BYTES_PER_SECOND, compress_table
+from shedsill.platform.store import CALL_TIMEOUT_SECONDS, WATCH_MARGIN_SECONDS
 from shedsill.tests.test_datagram_tables import make_table
 
 CONTACT = 4.0
@@ -35,12 +35,12 @@
 STORE_ANSWER = 0.3
 """Seconds in which a slow store answers."""
 
-NOTICE = KEEPALIVE_IDLE + KEEPALIVE_INTERVAL * KEEPALIVE_PROBES
+NOTICE = KEEPALIVE_IDLE_SECONDS + KEEPALIVE_INTERVAL_SECONDS * KEEPALIVE_PROBES
 TRANSFER = LARGE_TABLE * ROUTE_OCTETS / THIN_LINK
 
 
 def test_a_watch_on_a_silent_connection_reads_the_change_in_time() -> None:
-    delay = NOTICE + balancer.RETRY.first + TRANSFER
+    delay = NOTICE + balancer.RETRY_BACKOFF.initial_delay + TRANSFER
     assert delay < CONTACT
 
 
@@ -49,32 +49,32 @@
 
     The collector watches again, and the others read the table from it.
     """
-    noticed = balancer.COLLECTOR_PATIENCE + WATCH_MARGIN + balancer.RETRY.first
-    content = len(pack_table(make_table(LARGE_TABLE)))
-    spread = PULL_AFTER + TICK_INTERVAL + content / THIN_LINK
+    noticed = balancer.COLLECTOR_WATCH_TIMEOUT_SECONDS + WATCH_MARGIN_SECONDS + balancer.RETRY_BACKOFF.initial_delay
+    content = len(compress_table(make_table(LARGE_TABLE)))
+    spread = PULL_AFTER + TICK_INTERVAL_SECONDS + content / THIN_LINK
     assert noticed + TRANSFER + spread < CONTACT
 
 
 def test_a_call_on_a_silent_connection_is_given_up_in_time() -> None:
-    delay = max(USER_TIMEOUT / 1000, CALL_TIMEOUT) + balancer.RETRY.first + TRANSFER
+    delay = max(USER_TIMEOUT_MILLISECONDS / 1000, CALL_TIMEOUT_SECONDS) + balancer.RETRY_BACKOFF.initial_delay + TRANSFER
     assert delay < CONTACT
 
 
 def test_a_change_made_in_an_outage_is_read_in_time_after_it() -> None:
-    delay = CALL_TIMEOUT + balancer.RETRY.longest + STORE_ANSWER + TRANSFER
+    delay = CALL_TIMEOUT_SECONDS + balancer.RETRY_BACKOFF.max_delay + STORE_ANSWER + TRANSFER
     assert delay < CONFIGURATION
 
 
 def test_a_report_is_back_in_time_after_an_outage() -> None:
-    delay = CALL_TIMEOUT + reports.RETRY.longest + STORE_ANSWER
+    delay = CALL_TIMEOUT_SECONDS + reports.RETRY_BACKOFF.max_delay + STORE_ANSWER
     assert delay <= REPORT_BACK + STORE_ANSWER
 
 
 def test_a_table_comes_from_another_balancer_in_time() -> None:
     """The first reader waits and reads; later ones find more that have it."""
-    content = len(pack_table(make_table(LARGE_TABLE)))
-    delay = PULL_AFTER + TICK_INTERVAL + content / THIN_LINK
-    queue = content / TABLE_RATE
+    content = len(compress_table(make_table(LARGE_TABLE)))
+    delay = PULL_AFTER + TICK_INTERVAL_SECONDS + content / THIN_LINK
+    queue = content / TABLE_BYTES_PER_SECOND
     assert delay + queue < CONFIGURATION / 2
 
 
--- a/shedsill/tests/test_datagram_heartbeats.py
+++ b/shedsill/tests/test_datagram_heartbeats.py
@@ -15,7 +15,7 @@
 from shedsill.datagram._effects import Effect, ResetFlow, SendToUpstream
 from shedsill.datagram._events import EarlierReportRead, Heartbeat, HeartbeatReceived
 from shedsill.datagram._messages import Role, UpstreamState
-from shedsill.datagram._runtime.agent import make_agent
+from shedsill.datagram._runtime.agent import create_agent
 from shedsill.datagram._upstream import (
     BOOT_SILENCE,
     FIRST_SERIAL,
@@ -173,7 +173,7 @@
         upstream=Address(host, ports[PORTS]),
         outbound=Address(host, ports[PORTS + 1]),
     )
-    node = make_agent(
+    node = create_agent(
         settings,
         source=None,  # type: ignore[arg-type]
         codec=CODEC,
@@ -182,7 +182,7 @@
     )
     try:
         return [
-            node._answer_heartbeat(
+            node._handle_heartbeat_call(
                 "PUT", f"/-/instances/{boot}", make_body(serial, state)
             ).status
             for boot, serial, state in beats
--- a/shedsill/tests/test_datagram_reading.py
+++ b/shedsill/tests/test_datagram_reading.py
@@ -176,7 +176,7 @@
     async def read() -> list:
         outcomes = []
         changes = watch_changes(
-            platform, "k", sleep=asyncio.sleep, patience=lambda: 30.0, rest=rest
+            platform, "k", sleep=asyncio.sleep, get_timeout=lambda: 30.0, delay_next_watch=rest
         )
         async for outcome in changes:
             outcomes.append(outcome)
--- a/shedsill/tests/test_guards.py
+++ b/shedsill/tests/test_guards.py
@@ -312,7 +312,7 @@
         silent_stream_finds_another_balancer,
     ),
     "generation rides on frames": (
-        Guard(_node, "note_generation", lambda spread, *_rest: (spread, None)),
+        Guard(_node, "handle_generation", lambda spread, *_rest: (spread, None)),
         outage_does_not_stop_the_spread,
     ),
     "silent candidate is skipped": (
--- a/shedsill/tests/test_platform_node.py
+++ b/shedsill/tests/test_platform_node.py
@@ -22,7 +22,7 @@
 def test_the_collector_runs_again_once_the_node_is_made(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(node, "make_node", lambda file, settings: Ended())
+    monkeypatch.setattr(node, "create_node", lambda file, settings: Ended())
     gc.disable()
     try:
         assert asyncio.run(node.run_node(None, None)) == 0  # type: ignore[arg-type]
--- a/shedsill/tests/test_platform_packets.py
+++ b/shedsill/tests/test_platform_packets.py
@@ -9,10 +9,10 @@
 
 from shedsill.datagram._forwarding import Route
 from shedsill.datagram._packet import ACK, BOUNCED, RST, SYN
-from shedsill.platform.packets import HEAD_LENGTH, HeadCodec
+from shedsill.platform.packets import HEADER_BYTES, HeaderCodec
 from shedsill.testing.flow_peers import check_packet, make_packet
 
-CODEC = HeadCodec()
+CODEC = HeaderCodec()
 EXAMPLE = bytes.fromhex(
     "04 00 00 00 00 00 00 00 9c 41 c6 12 00 01 01 bb 64 40 00 07"
     "00 00 00 00 11 22 33 44 00 00 00 00 a1 b2 c3 d5"
@@ -86,7 +86,7 @@
         CODEC.decode_forwarded(data),
         CODEC.decode_upstream(data),
     )
-    assert all((packet is None) == (len(data) < HEAD_LENGTH) for packet in packets)
+    assert all((packet is None) == (len(data) < HEADER_BYTES) for packet in packets)
 
 
 def test_resets_carry_what_the_caller_expects() -> None:
--- a/shedsill/tests/test_platform_store.py
+++ b/shedsill/tests/test_platform_store.py
@@ -132,7 +132,7 @@
     async def scenario(stand_in: ObjectStoreStandIn, store: ObjectStore) -> None:
         await put(store, "a")
         outcomes = watch_changes(
-            store, KIND, sleep=asyncio.sleep, patience=lambda: 0.05
+            store, KIND, sleep=asyncio.sleep, get_timeout=lambda: 0.05
         )
         assert isinstance(await anext(outcomes), Listing)
         await put(store, "b")
@@ -148,7 +148,7 @@
 def test_a_store_that_is_down_is_a_value(
     down: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(store_module, "CALL_TIMEOUT", 0.1)
+    monkeypatch.setattr(store_module, "CALL_TIMEOUT_SECONDS", 0.1)
 
     async def scenario(stand_in: ObjectStoreStandIn, store: ObjectStore) -> None:
         stand_in.faults.down = down
@@ -183,7 +183,7 @@
 
 async def settle(writer: ReportWriter) -> None:
     for _ in range(300):
-        if writer.wanted is None:
+        if writer.pending is None:
             return
         await asyncio.sleep(0.01)
     raise AssertionError("the report was not written in time")
@@ -199,9 +199,9 @@
 
     return ReportWriter(
         platform=store,
-        write_note=lambda note: None,
-        take_earlier=take_earlier,
-        run_beside=run_beside,
+        write_log=lambda note: None,
+        handle_earlier_report=take_earlier,
+        run_in_background=run_beside,
     )
 
 
@@ -222,7 +222,7 @@
         stand_in.write(REPORT_KIND, REPORT.host, {"old": True})
         read = []
         writer = make_writer(store, lambda *call: read.append(call))
-        await writer.read_earlier(REPORT.host)
+        await writer.read_earlier_report(REPORT.host)
         assert read == [({"old": True}, True)]
         writer.store(REPORT)
         await settle(writer)
@@ -238,7 +238,7 @@
         read = []
         writer = make_writer(store, lambda *call: read.append(call))
         stand_in.faults.down = "busy"
-        await writer.read_earlier(REPORT.host)
+        await writer.read_earlier_report(REPORT.host)
         assert read == []
         stand_in.faults.down = ""
         writer.store(REPORT)
@@ -314,7 +314,7 @@
     async def scenario(stand_in: ObjectStoreStandIn, store: ObjectStore) -> None:
         await put(store, "a")
         outcomes = watch_changes(
-            store, KIND, sleep=asyncio.sleep, patience=lambda: 0.05
+            store, KIND, sleep=asyncio.sleep, get_timeout=lambda: 0.05
         )
         assert isinstance(await anext(outcomes), Listing)
         stand_in.faults.down = "silent"
--- a/shedsill/tests/test_routing.py
+++ b/shedsill/tests/test_routing.py
@@ -11,7 +11,7 @@
 from shedsill._limits import Rate
 from shedsill.http3._accepting import Inputs, accept
 from shedsill.http3._configuration import Configuration
-from shedsill.http3._effects import Effect, Note, Send
+from shedsill.http3._effects import Effect, WriteLog, Send
 from shedsill.http3._events import CallerDatagram
 from shedsill.http3._frames import Load, ToUpstream
 from shedsill.http3._keys import KeyRing, Route
@@ -85,7 +85,7 @@
 
 
 def get_event(effects: list[Effect]) -> LogEvent:
-    return next(e.event for e in effects if isinstance(e, Note))
+    return next(e.event for e in effects if isinstance(e, WriteLog))
 
 
 def test_minted_id_leads_to_its_agent_and_changes_no_state() -> None:
--- a/shedsill/tests/test_silent_connections.py
+++ b/shedsill/tests/test_silent_connections.py
@@ -24,8 +24,8 @@
     Unavailable,
 )
 from shedsill.coordination.watch import watch_changes
-from shedsill.datagram._runtime.balancer import COLLECTOR_PATIENCE, RETRY
-from shedsill.platform.store import CALL_TIMEOUT, WATCH_MARGIN, ObjectStore
+from shedsill.datagram._runtime.balancer import COLLECTOR_WATCH_TIMEOUT_SECONDS, RETRY_BACKOFF
+from shedsill.platform.store import CALL_TIMEOUT_SECONDS, WATCH_MARGIN_SECONDS, ObjectStore
 
 KIND = "config"
 LIMIT = 4.0
@@ -102,7 +102,7 @@
 
 
 def test_a_call_goes_on_over_a_new_connection() -> None:
-    assert CALL_TIMEOUT + RETRY.first < LIMIT
+    assert CALL_TIMEOUT_SECONDS + RETRY_BACKOFF.initial_delay < LIMIT
 
     async def scenario() -> None:
         stand_in, server, store = await start_store()
@@ -120,13 +120,13 @@
 
 def test_the_collector_hears_of_a_change_over_a_new_connection() -> None:
     """Its watch waits with nothing to send; the bound is on what it waits for."""
-    noticed = COLLECTOR_PATIENCE + WATCH_MARGIN + RETRY.first
+    noticed = COLLECTOR_WATCH_TIMEOUT_SECONDS + WATCH_MARGIN_SECONDS + RETRY_BACKOFF.initial_delay
     assert noticed < LIMIT
 
     async def scenario() -> None:
         stand_in, server, store = await start_store()
         outcomes = watch_changes(
-            store, KIND, sleep=asyncio.sleep, patience=lambda: 0.1, backoff=RETRY
+            store, KIND, sleep=asyncio.sleep, get_timeout=lambda: 0.1, backoff=RETRY_BACKOFF
         )
         assert isinstance(await anext(outcomes), Listing)
         stand_in.silent = 1
