--- a/shedsill/datagram/_balancer.py
+++ b/shedsill/datagram/_balancer.py
@@ -9,7 +9,7 @@
 from msgspec.structs import replace
 
 from shedsill._catalogue import LogEvent
-from shedsill._shared_effects import Exit, Note
+from shedsill._common_effects import Exit, WriteLog
 from shedsill.datagram import _checkpoint_collection, _flow_search, _failure_detection, _flow_placement, _membership
 from shedsill.datagram._balancer_state import BalancerState, forward_packet
 from shedsill.datagram._effects import (
@@ -105,12 +105,12 @@
     fields = {"flow": packet.flow, "table": state.table.version}
     if state.peers_ahead and not is_syn(packet):
         # The newer table may have the route; the caller sends again in 0.2 s.
-        return [Note(event=LogEvent.TABLE_AWAITED, fields=fields)]
+        return [WriteLog(event=LogEvent.TABLE_AWAITED, fields=fields)]
     state.flows.pop(packet.flow, None)
     state.pending_flows.pop(packet.flow, None)
     return [
         ResetFlow(packet.flow, packet.ack),
-        Note(event=LogEvent.FLOW_UNROUTED, fields=fields),
+        WriteLog(event=LogEvent.FLOW_UNROUTED, fields=fields),
     ]
 
 
@@ -207,7 +207,7 @@
         "upstream": source,
         "reason": returned.reason.value,
     }
-    note = Note(event=LogEvent.PACKET_RETURNED, fields=fields)
+    note = WriteLog(event=LogEvent.PACKET_RETURNED, fields=fields)
     reason = returned.reason
     return [note, *_flow_placement.handle_returned_syn(state, packet, source, reason, now)]
 
@@ -228,7 +228,7 @@
         "upstream": source,
         "reason": denied.reason.value,
     }
-    note = Note(event=LogEvent.FLOW_DENIED, fields=fields)
+    note = WriteLog(event=LogEvent.FLOW_DENIED, fields=fields)
     del state.flows[denied.flow]
     state.pending_flows.pop(denied.flow, None)
     ack = flow.caller_ack
@@ -250,7 +250,7 @@
     state.report = replace(
         state.report, version=event.table.version, serial=state.report.serial + 1
     )
-    note = Note(event=LogEvent.TABLE_APPLIED, fields=fields)
+    note = WriteLog(event=LogEvent.TABLE_APPLIED, fields=fields)
     announcement = Announcement(report=state.report)
     hosts = state.nodes.balancers
     return [note, *(SendMessage(host, announcement) for host in hosts)]
@@ -327,7 +327,7 @@
     state.report = replace(state.report, stopping=True, serial=state.report.serial + 1)
     announcement = Announcement(report=state.report)
     return [
-        Note(event=LogEvent.NODE_STOPPING, fields={"flows": len(state.flows)}),
+        WriteLog(event=LogEvent.NODE_STOPPING, fields={"flows": len(state.flows)}),
         *(SendMessage(host, announcement) for host in state.nodes.balancers),
         RemoveReport(state.report),
     ]
@@ -339,4 +339,4 @@
     quiet = now - state.last_packet_at >= STOP_IDLE_SECONDS
     if not quiet and now < state.stop_at:
         return []
-    return [Note(event=LogEvent.NODE_STOPPED), Exit()]
+    return [WriteLog(event=LogEvent.NODE_STOPPED), Exit()]
--- a/shedsill/datagram/_flow_search.py
+++ b/shedsill/datagram/_flow_search.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable
 
 from shedsill._catalogue import LogEvent
-from shedsill._shared_effects import Note
+from shedsill._common_effects import WriteLog
 from shedsill.datagram import _failure_detection, _report_polling, _search_state
 from shedsill.datagram._balancer_state import (
     BalancerFlow,
@@ -39,7 +39,7 @@
     search = state.searches.get(packet.flow)
     if search is None:
         if len(state.searches) >= _search_state.MAX_SEARCHES:
-            return [Note(event=LogEvent.SEARCH_DROPPED, fields={"flow": packet.flow})]
+            return [WriteLog(event=LogEvent.SEARCH_DROPPED, fields={"flow": packet.flow})]
         search = _start_search(state, packet.flow, packet.ack, now)
         search.packets.append(packet)
         return []
@@ -180,7 +180,7 @@
         "after": round(now - search.started_at, 3),
         "tried": search.tried_count,
     }
-    effects: list[Effect] = [Note(event=LogEvent.FLOW_FOUND, fields=fields)]
+    effects: list[Effect] = [WriteLog(event=LogEvent.FLOW_FOUND, fields=fields)]
     for packet in search.packets:
         known.caller_ack = packet.ack
         effects.append(forward_packet(state, host, known.service, packet))
@@ -214,7 +214,7 @@
     }
     return [
         ResetFlow(flow, search.caller_ack),
-        Note(event=LogEvent.FLOW_ORPHANED, fields=fields),
+        WriteLog(event=LogEvent.FLOW_ORPHANED, fields=fields),
     ]
 
 
@@ -311,7 +311,7 @@
                 "silent": sorted(search.pending_hosts)[:4],
                 "known": len(state.nodes.upstreams),
             }
-            effects.append(Note(event=LogEvent.SEARCH_ENDED, fields=fields))
+            effects.append(WriteLog(event=LogEvent.SEARCH_ENDED, fields=fields))
         elif _search_state.is_retry_due(search, now):
             effects += _retry_search(state, key, search, now)
     return effects + send_locates(state)
