--- a/benchmarks/agents.py
+++ b/benchmarks/agents.py
@@ -20,8 +20,8 @@
 from shedsill.http3._frames import ToCaller, ToUpstream, decode_frame, encode_frame
 from shedsill.http3._keys import KeyRing, Route
 from shedsill.http3._runtime.certificates import parse_certificate
-from shedsill.http3._runtime.flows import FlowHooks, FlowTable
-from shedsill.http3._runtime.quic import Minter, make_quic_configuration
+from shedsill.http3._runtime.flows import FlowCallbacks, FlowTable
+from shedsill.http3._runtime.quic import ConnectionIdGenerator, make_quic_configuration
 from shedsill.testing.certificates import make_certificate
 from shedsill.testing.client import open_client
 from shedsill.testing.documents import make_layout
@@ -52,16 +52,16 @@
     def mint() -> bytes:
         return KEYS.mint(Route(1, 1, 1), epoch=1, nonce=os.urandom(6))
 
-    hooks = FlowHooks(
-        send=lambda caller, data, _balancer: outbox.append((caller, data)),
-        opened=lambda _flow: None,
-        closed=lambda _flow: None,
-        arrived=lambda _exchange: None,
-        cancelled=lambda _exchange, _deliberate: None,
-        lost=lambda _caller, _datagram, _balancer: None,
-        failed=lambda _flow, _error: None,
+    callbacks = FlowCallbacks(
+        send_datagram=lambda caller, data, _balancer: outbox.append((caller, data)),
+        on_opened=lambda _flow: None,
+        on_closed=lambda _flow: None,
+        on_request=lambda _exchange: None,
+        on_cancelled=lambda _exchange, _deliberate: None,
+        on_unknown_flow=lambda _caller, _datagram, _balancer: None,
+        on_failed=lambda _flow, _error: None,
     )
-    table = FlowTable(Minter(mint=mint, make_reset_token=KEYS.make_reset_token), hooks)
+    table = FlowTable(ConnectionIdGenerator(generate=mint, make_reset_token=KEYS.make_reset_token), callbacks)
     pair = make_certificate()
     loaded = parse_certificate(pair.certificate, pair.private_key)
     table.configuration = make_quic_configuration()
--- a/benchmarks/datapath.py
+++ b/benchmarks/datapath.py
@@ -28,7 +28,7 @@
 from shedsill.http3._resources import Service, Upstream, UpstreamSet
 from shedsill.http3._routing import FlowLimits, Router
 from shedsill.http3._runtime.balancer import Balancer, BalancerOptions, BalancerSettings
-from shedsill.http3._runtime.notes import Notebook
+from shedsill.http3._runtime.log import EventLog
 from shedsill.testing.ports import find_ports
 
 KEYS = KeyRing((bytes(range(32)),))
@@ -185,13 +185,13 @@
     transport.close()
     sink_address = Address(*sink.getsockname())
     balancer, service = await _start_balancer(sink_address)
-    notebook = balancer.notebook
+    event_log = balancer.event_log
     established = await _time_bursts(
-        service, [packet], lambda: notebook.count(LogEvent.FLOW_ROUTED)
+        service, [packet], lambda: event_log.count(LogEvent.FLOW_ROUTED)
     )
     initials = [make_initial() for _ in range(2_000)]
     fresh = await _time_bursts(
-        service, initials, lambda: notebook.count(LogEvent.FLOW_PLACED)
+        service, initials, lambda: event_log.count(LogEvent.FLOW_PLACED)
     )
     replies = await _measure_replies(balancer, sink)
     await balancer.stop()
@@ -221,7 +221,7 @@
         options,
         keys=KEYS,
         platform=_DownPlatform(),
-        notebook=Notebook(node="b", level="ERROR"),
+        event_log=EventLog(node="b", level="ERROR"),
     )
     await balancer.start()
     configuration = make_configuration(service_port, agent, 1)
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -204,7 +204,7 @@
     scene of the placement benchmark leaves them.
     """
     playing = make_steady(BALANCED_UPSTREAMS)
-    flows = [agent.flows for agent in playing.agents.values()]
+    flows = [agent.flow_count for agent in playing.agents.values()]
     mean = sum(flows) / len(flows)
     busy = []
     for index, count in enumerate(flows):
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -19,7 +19,7 @@
 from shedsill._addresses import Address
 from shedsill._limits import Rate
 from shedsill.http3._accepting import Inputs, accept
-from shedsill.http3._admission import Admission, note_failure
+from shedsill.http3._admission import Admission, record_failure
 from shedsill.http3._agent_state import AgentSettings, AgentState, get_load
 from shedsill.http3._balancer import BalancerState
 from shedsill.http3._configuration import Configuration, UpstreamState
@@ -85,7 +85,7 @@
         upstream_name=name,
         service_name="s",
         policy=policy,
-        settings=AgentSettings(handshakes=UNLIMITED, slow_start=slow_start),
+        settings=AgentSettings(handshake_rate=UNLIMITED, slow_start=slow_start),
         admission=Admission(),
     )
 
@@ -253,7 +253,7 @@
     def get_imbalance(self) -> float:
         """Return the most flows over the mean, of upstreams that take new ones."""
         counts = [
-            self.agents[u.number].flows
+            self.agents[u.number].flow_count
             for u in self.configuration.upstreams
             if u.state == UpstreamState.ACTIVE
         ]
@@ -345,13 +345,13 @@
     """Measure how many new flows go to an upstream that sheds everything."""
     playing = make_steady(7)
     hole = playing.agents[1]
-    before = hole.flows
+    before = hole.flow_count
     admission = hole.admission
     for _ in range(admission.settings.breaker_failures):
-        admission = note_failure(admission, playing.now)
+        admission = record_failure(admission, playing.now)
     playing.agents[1] = evolve(hole, admission=admission)
     playing.open_flows(PER_UPSTREAM)
-    share = (playing.agents[1].flows - before) / PER_UPSTREAM
+    share = (playing.agents[1].flow_count - before) / PER_UPSTREAM
     refused = playing.refused / PER_UPSTREAM
     return [
         Result("share of new flows to a black hole, 7 upstreams", share, ""),
@@ -363,11 +363,11 @@
     """Measure how many new flows go to an upstream whose queue has grown."""
     playing = make_steady(7)
     slow = playing.agents[1]
-    before = slow.flows
+    before = slow.flow_count
     admission = evolve(slow.admission, running=2 * slow.admission.slots)
     playing.agents[1] = evolve(slow, admission=admission)
     playing.open_flows(PER_UPSTREAM)
-    share = (playing.agents[1].flows - before) / PER_UPSTREAM
+    share = (playing.agents[1].flow_count - before) / PER_UPSTREAM
     return [Result("share of new flows to a slow one, 7 upstreams", share, "")]
 
 
--- a/shedsill/_cli/daemons.py
+++ b/shedsill/_cli/daemons.py
@@ -30,10 +30,10 @@
 from shedsill.http3._placement import HashOnly, Policy, TwoCandidates
 from shedsill.http3._routing import FlowLimits
 from shedsill.http3._runtime.agent import Agent, AgentOptions
-from shedsill.http3._runtime.balancer import LEASE_TIME, Balancer, BalancerOptions
+from shedsill.http3._runtime.balancer import LEASE_SECONDS, Balancer, BalancerOptions
 from shedsill.http3._runtime.certificates import CertificateLoader, check_certificate
 from shedsill.http3._runtime.driver import Driver
-from shedsill.http3._runtime.notes import Notebook, configure_logging
+from shedsill.http3._runtime.log import EventLog, configure_logging
 from shedsill.http3._runtime.platform import HttpPlatform
 from shedsill.http3._runtime.upstream import UpstreamClient
 
@@ -43,12 +43,12 @@
 }
 
 
-def _prepare_logging(settings: dict[str, Any]) -> Notebook:
+def _prepare_logging(settings: dict[str, Any]) -> EventLog:
     level = check_choice("--log-level", settings["log_level"], LEVELS)
     form = check_choice("--log-format", settings["log_format"], FORMATS)
     sample = check_number("--log-sample", settings["log_sample"], 1, 1_000_000)
     configure_logging(level=level, as_json=form == "json")
-    return Notebook(node=settings["name"], level=level, sample=sample)
+    return EventLog(node=settings["name"], level=level, sample=sample)
 
 
 @click.command()
@@ -73,7 +73,7 @@
 @click.option(
     "--lease-time",
     type=float,
-    default=LEASE_TIME,
+    default=LEASE_SECONDS,
     show_default=True,
     help="Seconds after which a silent acceptor is replaced.",
 )
@@ -86,7 +86,7 @@
 )
 def balancer(**settings: Any) -> None:
     """Run a balancer on an entry VM."""
-    notebook = _prepare_logging(settings)
+    event_log = _prepare_logging(settings)
     keys = read_keys(settings["cluster_secret"], settings["second_secret"])
     options = BalancerOptions(
         name=settings["name"],
@@ -107,7 +107,7 @@
     platform = HttpPlatform(check_url("--platform", settings["platform"]))
 
     def make() -> Driver:
-        return Balancer(options, keys=keys, platform=platform, notebook=notebook)
+        return Balancer(options, keys=keys, platform=platform, event_log=event_log)
 
     sys.exit(asyncio.run(run_daemon(make, platform)))
 
@@ -198,7 +198,7 @@
 )
 def agent(**settings: Any) -> None:
     """Run the agent beside an upstream."""
-    notebook = _prepare_logging(settings)
+    event_log = _prepare_logging(settings)
     keys = read_keys(settings["cluster_secret"], settings["second_secret"])
     check_certificate("--certificate", settings["certificate"], settings["private_key"])
     policy = check_choice("--policy", settings["policy"], tuple(POLICIES))
@@ -211,7 +211,7 @@
         seeds=read_addresses("--peers", settings["peers"]),
         zone=settings["zone"],
         settings=AgentSettings(
-            handshakes=read_rate("--handshake-rate", settings["handshake_rate"]),
+            handshake_rate=read_rate("--handshake-rate", settings["handshake_rate"]),
             slow_start=check_number("--slow-start", settings["slow_start"], 0, 3600),
             drain_limit=check_number(
                 "--drain-limit", settings["drain_limit"], 0, 604_800
@@ -233,7 +233,7 @@
             options,
             keys=keys,
             platform=platform,
-            notebook=notebook,
+            event_log=event_log,
             upstream=upstream,
             certificates=certificates,
         )
--- a/shedsill/_cli/quickstart.py
+++ b/shedsill/_cli/quickstart.py
@@ -14,7 +14,7 @@
 from shedsill._cli.exits import EXIT_FAILED, EXIT_OK
 from shedsill._cli.writes import Written, write_document
 from shedsill.http3._resources import parse_documents
-from shedsill.http3._runtime.notes import configure_logging
+from shedsill.http3._runtime.log import configure_logging
 
 SERVICE = "dispatcher"
 STREAM_PATH = "/stream?interval=0.05"
--- a/shedsill/http3/__init__.py
+++ b/shedsill/http3/__init__.py
@@ -15,7 +15,7 @@
 a balancer                ``_balancer``, ``_routing``, ``_packets``,
                           ``_placement``, ``_flows``
 an agent                  ``_agent``, ``_agent_state``, ``_requests``,
-                          ``_admission``, ``_settling``, ``_outcomes``,
+                          ``_admission``, ``_request_completion``, ``_outcomes``,
                           ``_answers``, ``_peers``, ``_drain``
 sockets and calls         ``_runtime``
 ========================  ====================================================
--- a/shedsill/http3/_admission.py
+++ b/shedsill/http3/_admission.py
@@ -13,22 +13,22 @@
 import immutables
 from attrs import evolve, field, frozen
 
-from shedsill.http3._outcomes import OutcomeKey
+from shedsill.http3._outcomes import IssuerKey
 from shedsill.http3._resources import RequestClass, RequestKind
 
-SMOOTHING = 0.1
-MAX_RETRY_AFTER = 60
-JITTER = 0.5
-MAX_RETRIES_LEFT = 10.0
+SERVICE_TIME_SMOOTHING = 0.1
+MAX_RETRY_AFTER_SECONDS = 60
+RETRY_AFTER_JITTER_RATIO = 0.5
+MAX_RETRY_BUDGET = 10.0
 
 
-class Phase(enum.Enum):
+class RequestPhase(enum.Enum):
     """Where a request stands."""
 
     QUEUED = "queued"
     RUNNING = "running"
     JOINED = "joined"
-    PASSED = "passed"
+    FORWARDED = "forwarded"
 
 
 @frozen(kw_only=True)
@@ -39,18 +39,18 @@
     ----------
     number, flow, stream : int
         See `shedsill.http3._events.RequestArrived`.
-    expires : float
+    expires_at : float
         Local time by which it has to be answered; infinite for streams.
-    origin, ticket_number : OutcomeKey or None, int
+    issuer, ticket_number : IssuerKey or None, int
         Where its outcome is recorded.
     ticket : str
         The ticket that its answer will carry for a later request.
-    started : float
+    started_at : float
         Local time at which it was sent to the upstream.
     retried, sent : bool
         Whether this is the second attempt, and whether a byte of the first
         may have reached the upstream.
-    began : bool
+    answer_started : bool
         Whether part of the answer has gone to the caller.
     """
 
@@ -59,21 +59,21 @@
     stream: int
     request_class: RequestClass
     fingerprint: bytes
-    whole: bool
-    expires: float
+    body_complete: bool
+    expires_at: float
     ticket: str
-    phase: Phase = Phase.QUEUED
-    origin: OutcomeKey | None = None
+    phase: RequestPhase = RequestPhase.QUEUED
+    issuer: IssuerKey | None = None
     ticket_number: int = 0
-    started: float = 0.0
+    started_at: float = 0.0
     retried: bool = False
     sent: bool = False
-    began: bool = False
+    answer_started: bool = False
     hops: int = 0
-    key: str = ""
+    idempotency_key: str = ""
 
     @property
-    def takes_slot(self) -> bool:
+    def needs_slot(self) -> bool:
         """Whether the request takes a slot while it runs."""
         return self.request_class.kind == RequestKind.SLOT
 
@@ -109,16 +109,16 @@
 
     CLOSED = "closed"
     OPEN = "open"
-    TRYING = "trying"
+    HALF_OPEN = "half-open"
 
 
 @frozen(kw_only=True)
 class Breaker:
-    """Counts failures in a row; `until` is the end of the pause."""
+    """Counts failures in a row; `open_until` is the end of the pause."""
 
     state: BreakerState = BreakerState.CLOSED
     failures: int = 0
-    until: float = 0.0
+    open_until: float = 0.0
 
 
 @frozen(kw_only=True)
@@ -129,15 +129,15 @@
     ----------
     queue : tuple of int
         Numbers of the requests that wait for a slot, oldest first.
-    cooling : tuple of float
+    slot_release_times : tuple of float
         Local times at which slots of aborted requests become free.
-    held_until : float
+    slots_available_at : float
         Local time until which no slot is used after a start.
     idle_since : float or None
         Local time since which the upstream has shown itself idle.
     service_time : float
         Smoothed seconds that a request takes a slot.
-    retries_left : float
+    retry_budget : float
         Second attempts that first ones have paid for.
     """
 
@@ -149,15 +149,15 @@
     queue: tuple[int, ...] = ()
     running: int = 0
     streams: int = 0
-    cooling: tuple[float, ...] = ()
-    held_until: float = 0.0
+    slot_release_times: tuple[float, ...] = ()
+    slots_available_at: float = 0.0
     idle_since: float | None = None
     service_time: float = 0.05
     breaker: Breaker = field(factory=Breaker)
-    retries_left: float = 0.0
+    retry_budget: float = 0.0
 
 
-class Admit(enum.Enum):
+class AdmissionDecision(enum.Enum):
     """What to do with a request that has just arrived."""
 
     START = "start"
@@ -166,27 +166,27 @@
 
 
 @frozen(kw_only=True)
-class Admittance:
+class AdmissionResult:
     """A decision and, for a refusal, its reason."""
 
-    decision: Admit
+    decision: AdmissionDecision
     reason: str = ""
 
 
-def count_free(admission: Admission, now: float) -> int:
+def count_free_slots(admission: Admission, now: float) -> int:
     """Return how many slots can be taken now."""
-    if now < admission.held_until:
+    if now < admission.slots_available_at:
         return 0
-    cooling = sum(1 for end in admission.cooling if end > now)
-    free = admission.slots - admission.running - cooling
-    if admission.breaker.state == BreakerState.TRYING:
+    releasing = sum(1 for end in admission.slot_release_times if end > now)
+    free = admission.slots - admission.running - releasing
+    if admission.breaker.state == BreakerState.HALF_OPEN:
         return min(free, 1 - admission.running)
     return free
 
 
 def decide_admission(
     admission: Admission, request: Request, class_count: int, now: float
-) -> Admittance:
+) -> AdmissionResult:
     """Decide on one request.
 
     Parameters
@@ -195,19 +195,19 @@
         Number of request classes of the service; each may fill its share of
         the queue.
     """
-    if is_broken(admission, now):
-        return Admittance(decision=Admit.REFUSE, reason="upstream fails")
-    if not request.takes_slot:
+    if is_breaker_blocking(admission, now):
+        return AdmissionResult(decision=AdmissionDecision.REFUSE, reason="upstream fails")
+    if not request.needs_slot:
         if admission.streams >= admission.stream_limit:
-            return Admittance(decision=Admit.REFUSE, reason="too many streams")
-        return Admittance(decision=Admit.START)
-    if count_free(admission, now) > 0 and not admission.queue:
-        return Admittance(decision=Admit.START)
+            return AdmissionResult(decision=AdmissionDecision.REFUSE, reason="too many streams")
+        return AdmissionResult(decision=AdmissionDecision.START)
+    if count_free_slots(admission, now) > 0 and not admission.queue:
+        return AdmissionResult(decision=AdmissionDecision.START)
     if _count_queued(admission, request) >= _get_share(admission, class_count):
-        return Admittance(decision=Admit.REFUSE, reason="queue is full")
-    if now + estimate_wait(admission, now) + admission.service_time > request.expires:
-        return Admittance(decision=Admit.REFUSE, reason="would not start in time")
-    return Admittance(decision=Admit.QUEUE)
+        return AdmissionResult(decision=AdmissionDecision.REFUSE, reason="queue is full")
+    if now + estimate_wait(admission, now) + admission.service_time > request.expires_at:
+        return AdmissionResult(decision=AdmissionDecision.REFUSE, reason="would not start in time")
+    return AdmissionResult(decision=AdmissionDecision.QUEUE)
 
 
 def _get_share(admission: Admission, class_count: int) -> int:
@@ -225,7 +225,7 @@
 
 def estimate_wait(admission: Admission, now: float) -> float:
     """Return the seconds that a request at the end of the queue would wait."""
-    held = max(admission.held_until - now, 0.0)
+    held = max(admission.slots_available_at - now, 0.0)
     if admission.idle_since is not None:
         proof = admission.idle_since + admission.settings.idle_span - now
         held = min(held, max(proof, 0.0))
@@ -245,19 +245,19 @@
     1
     """
     wait = estimate_wait(admission, now)
-    if is_broken(admission, now):
-        wait = max(wait, admission.breaker.until - now)
-    spread = 1.0 + JITTER * (seed % 1000) / 1000
-    return max(1, min(math.ceil(wait * spread), MAX_RETRY_AFTER))
+    if is_breaker_blocking(admission, now):
+        wait = max(wait, admission.breaker.open_until - now)
+    spread = 1.0 + RETRY_AFTER_JITTER_RATIO * (seed % 1000) / 1000
+    return max(1, min(math.ceil(wait * spread), MAX_RETRY_AFTER_SECONDS))
 
 
-def choose_next(admission: Admission, now: float) -> int | None:
+def choose_next_request(admission: Admission, now: float) -> int | None:
     """Return the queued request to start: the class with least at work first."""
-    if not admission.queue or count_free(admission, now) <= 0:
+    if not admission.queue or count_free_slots(admission, now) <= 0:
         return None
     at_work: dict[str, int] = {}
     for request in admission.requests.values():
-        if request.phase == Phase.RUNNING and request.takes_slot:
+        if request.phase == RequestPhase.RUNNING and request.needs_slot:
             name = request.request_class.name
             at_work[name] = at_work.get(name, 0) + 1
 
@@ -275,7 +275,7 @@
 
 def queue_request(admission: Admission, request: Request) -> Admission:
     """Put a request at the end of the queue."""
-    admission = put_request(admission, evolve(request, phase=Phase.QUEUED))
+    admission = put_request(admission, evolve(request, phase=RequestPhase.QUEUED))
     return evolve(admission, queue=(*admission.queue, request.number))
 
 
@@ -286,11 +286,11 @@
     admission = evolve(
         admission,
         queue=queue,
-        running=admission.running + request.takes_slot,
-        streams=admission.streams + (not request.takes_slot),
-        retries_left=min(admission.retries_left + earned, MAX_RETRIES_LEFT),
+        running=admission.running + request.needs_slot,
+        streams=admission.streams + (not request.needs_slot),
+        retry_budget=min(admission.retry_budget + earned, MAX_RETRY_BUDGET),
     )
-    return put_request(admission, evolve(request, phase=Phase.RUNNING, started=now))
+    return put_request(admission, evolve(request, phase=RequestPhase.RUNNING, started_at=now))
 
 
 def drop_request(
@@ -308,87 +308,87 @@
         requests=admission.requests.delete(request.number),
         queue=tuple(n for n in admission.queue if n != request.number),
     )
-    if known.phase != Phase.RUNNING:
+    if known.phase != RequestPhase.RUNNING:
         return admission
-    if not known.takes_slot:
+    if not known.needs_slot:
         return evolve(admission, streams=admission.streams - 1)
-    cooling = tuple(end for end in admission.cooling if end > now)
+    releasing = tuple(end for end in admission.slot_release_times if end > now)
     if aborted:
-        cooling = (*cooling, now + admission.settings.cancel_grace)
-    return evolve(admission, running=admission.running - 1, cooling=cooling)
+        releasing = (*releasing, now + admission.settings.cancel_grace)
+    return evolve(admission, running=admission.running - 1, slot_release_times=releasing)
 
 
-def note_service_time(admission: Admission, request: Request, now: float) -> Admission:
+def update_service_time(admission: Admission, request: Request, now: float) -> Admission:
     """Take in how long a finished request held its slot."""
-    if not request.takes_slot:
+    if not request.needs_slot:
         return admission
-    elapsed = now - request.started
-    smoothed = admission.service_time + SMOOTHING * (elapsed - admission.service_time)
+    elapsed = now - request.started_at
+    smoothed = admission.service_time + SERVICE_TIME_SMOOTHING * (elapsed - admission.service_time)
     return evolve(admission, service_time=smoothed)
 
 
-def is_broken(admission: Admission, now: float) -> bool:
+def is_breaker_blocking(admission: Admission, now: float) -> bool:
     """Whether the upstream gets no new work because it fails."""
     breaker = admission.breaker
     match breaker.state:
         case BreakerState.OPEN:
-            return now < breaker.until
-        case BreakerState.TRYING:
+            return now < breaker.open_until
+        case BreakerState.HALF_OPEN:
             return admission.running > 0
         case _:
             return False
 
 
-def note_failure(admission: Admission, now: float) -> Admission:
+def record_failure(admission: Admission, now: float) -> Admission:
     """Count a failure of the upstream; maybe open the breaker."""
     settings = admission.settings
     failures = admission.breaker.failures + 1
-    trying = admission.breaker.state == BreakerState.TRYING
+    trying = admission.breaker.state == BreakerState.HALF_OPEN
     if failures < settings.breaker_failures and not trying:
         return evolve(admission, breaker=Breaker(failures=failures))
     breaker = Breaker(
-        state=BreakerState.OPEN, failures=failures, until=now + settings.breaker_pause
+        state=BreakerState.OPEN, failures=failures, open_until=now + settings.breaker_pause
     )
     return evolve(admission, breaker=breaker)
 
 
-def note_success(admission: Admission) -> Admission:
+def record_success(admission: Admission) -> Admission:
     """Close the breaker."""
     if admission.breaker == Breaker():
         return admission
     return evolve(admission, breaker=Breaker())
 
 
-def try_again(admission: Admission, now: float) -> Admission:
+def update_breaker(admission: Admission, now: float) -> Admission:
     """After the pause let one request try the upstream."""
     breaker = admission.breaker
-    if breaker.state == BreakerState.OPEN and now >= breaker.until:
-        breaker = evolve(breaker, state=BreakerState.TRYING)
+    if breaker.state == BreakerState.OPEN and now >= breaker.open_until:
+        breaker = evolve(breaker, state=BreakerState.HALF_OPEN)
         return evolve(admission, breaker=breaker)
     return admission
 
 
 def take_retry(admission: Admission) -> tuple[Admission, bool]:
     """Take one retry from the budget, if first attempts have paid for it."""
-    left = admission.retries_left
+    left = admission.retry_budget
     if left < 1.0:
         return admission, False
-    return evolve(admission, retries_left=left - 1.0), True
+    return evolve(admission, retry_budget=left - 1.0), True
 
 
-def note_upstream_load(admission: Admission, busy: int, now: float) -> Admission:
+def record_upstream_load(admission: Admission, busy: int, now: float) -> Admission:
     """Take in a reading of the upstream's load endpoint.
 
     It may lag or mislead, so it counts for one thing only: an upstream that
     shows itself idle for a while after this agent's start has nothing left of
     what an earlier agent sent.
     """
-    if now >= admission.held_until:
+    if now >= admission.slots_available_at:
         return admission
     if busy > 0:
         return evolve(admission, idle_since=None)
     if admission.idle_since is None:
         return evolve(admission, idle_since=now)
     if now - admission.idle_since >= admission.settings.idle_span:
-        return evolve(admission, held_until=now)
+        return evolve(admission, slots_available_at=now)
     return admission
--- a/shedsill/http3/_agent.py
+++ b/shedsill/http3/_agent.py
@@ -5,12 +5,12 @@
 from attrs import evolve
 
 from shedsill._catalogue import LogEvent
-from shedsill.http3._admission import count_free, note_upstream_load, try_again
+from shedsill.http3._admission import count_free_slots, record_upstream_load, update_breaker
 from shedsill.http3._agent_state import AgentState, get_vitals
 from shedsill.http3._configuration import Configuration
 from shedsill.http3._drain import (
     advance_drain,
-    begin_drain,
+    start_drain,
     report_status,
     update_drain,
 )
@@ -26,10 +26,10 @@
     UpstreamLoadRead,
 )
 from shedsill.http3._flows import (
-    forget_decisions,
-    move_reply_paths,
-    note_reply_path,
-    take_frame,
+    drop_expired_decisions,
+    replace_silent_reply_paths,
+    record_reply_path,
+    handle_caller_datagram,
 )
 from shedsill.http3._frames import Heartbeat, ToUpstream
 from shedsill.http3._node import (
@@ -38,23 +38,23 @@
     offer_configuration,
     send_heartbeats,
 )
-from shedsill.http3._outcomes import add_origin, drop_expired, take_transfer
-from shedsill.http3._requests import expire_requests, start_waiting
+from shedsill.http3._outcomes import add_issuer, drop_expired_records, merge_transfer
+from shedsill.http3._requests import expire_requests, start_queued_requests
 from shedsill.http3._resources import RequestKind, Service
 
 MAX_PROBED_PATHS = 8
-DEFAULT_DEADLINE = 30.0
+DEFAULT_DEADLINE_SECONDS = 30.0
 
 Step = tuple[AgentState, list[Effect]]
 
 
-def take_tick(state: AgentState, event: Tick) -> Step:
+def handle_tick(state: AgentState, event: Tick) -> Step:
     """Do what time brings: deadlines, retries, drains and heartbeats."""
-    state = evolve(state, admission=try_again(state.admission, event.now))
+    state = evolve(state, admission=update_breaker(state.admission, event.now))
     state, effects = expire_requests(state, event.now, event.seed)
-    state, more = start_waiting(state, event.now, event.seed)
+    state, more = start_queued_requests(state, event.now, event.seed)
     effects += more
-    state, more = _beat(state, event)
+    state, more = _send_heartbeats_if_due(state, event)
     effects += more
     state, more = advance_drain(state, event.now)
     effects += more
@@ -62,12 +62,12 @@
     return state, effects + more
 
 
-def _beat(state: AgentState, event: Tick) -> Step:
+def _send_heartbeats_if_due(state: AgentState, event: Tick) -> Step:
     if event.now < state.node.next_beat:
         return state, []
-    state = forget_decisions(state, event.now)
-    state = evolve(state, ledger=drop_expired(state.ledger, event.now))
-    state, moves = move_reply_paths(state, event.now)
+    state = drop_expired_decisions(state, event.now)
+    state = evolve(state, outcomes=drop_expired_records(state.outcomes, event.now))
+    state, moves = replace_silent_reply_paths(state, event.now)
     probed = sorted(state.reply_paths)[:MAX_PROBED_PATHS]
     node, beats = send_heartbeats(
         state.node, get_vitals(state), probed, now=event.now, seed=event.seed
@@ -75,7 +75,7 @@
     return evolve(state, node=node), moves + beats
 
 
-def take_configuration(state: AgentState, event: ConfigurationOffered) -> Step:
+def handle_configuration(state: AgentState, event: ConfigurationOffered) -> Step:
     """Apply a newer configuration to identity, limits and drain."""
     node, effects = offer_configuration(state.node, event.configuration)
     if node.configuration is state.node.configuration:
@@ -83,7 +83,7 @@
     was_known = state.upstream != 0
     state = _identify(evolve(state, node=node), node.configuration, event.now)
     if state.upstream and not was_known:
-        fields = {"seconds": state.admission.held_until - event.now}
+        fields = {"seconds": state.admission.slots_available_at - event.now}
         effects.append(Note(event=LogEvent.SLOTS_HELD, fields=fields))
     state, more = update_drain(state, event.now)
     return state, effects + more
@@ -104,7 +104,7 @@
         return evolve(state, upstream=0, service=0)
     first = state.upstream == 0
     state = evolve(state, upstream=own[0].number, service=own[0].service)
-    state = evolve(state, ledger=add_origin(state.ledger, state.origin))
+    state = evolve(state, outcomes=add_issuer(state.outcomes, state.issuer))
     return _set_limits(state, configuration, now, first=first)
 
 
@@ -127,83 +127,83 @@
     )
     if not first:
         return evolve(state, admission=admission)
-    admission = evolve(admission, held_until=now + get_longest_deadline(service))
-    return evolve(state, admission=admission, started=now)
+    admission = evolve(admission, slots_available_at=now + get_longest_deadline(service))
+    return evolve(state, admission=admission, slow_start_at=now)
 
 
 def get_longest_deadline(service: Service) -> float:
     """Return the seconds after which nothing an earlier agent sent can run."""
     deadlines = [c.deadline for c in service.classes if c.kind == RequestKind.SLOT]
-    return max([*deadlines, DEFAULT_DEADLINE])
+    return max([*deadlines, DEFAULT_DEADLINE_SECONDS])
 
 
-def take_any_frame(state: AgentState, event: FrameReceived) -> Step:
+def handle_frame(state: AgentState, event: FrameReceived) -> Step:
     """Take in a frame from a balancer or another agent."""
     node, effects = hear_frame(state.node, event.frame, event.source, event.now)
     state = evolve(state, node=node)
     match event.frame:
         case ToUpstream() as frame:
-            state, more = take_frame(state, event, frame)
+            state, more = handle_caller_datagram(state, event, frame)
         case Heartbeat() as frame:
-            state, more = _take_heartbeat(state, event, frame)
+            state, more = _handle_heartbeat(state, event, frame)
         case _:
             more = []
     return state, effects + more
 
 
-def _take_heartbeat(state: AgentState, event: FrameReceived, frame: Heartbeat) -> Step:
+def _handle_heartbeat(state: AgentState, event: FrameReceived, frame: Heartbeat) -> Step:
     sender = frame.reports[0] if frame.reports else None
     if sender is not None and sender.balancer and not sender.leaving:
-        state = note_reply_path(state, event.source, event.now, passed=False)
+        state = record_reply_path(state, event.source, event.now, passed=False)
     if not frame.probe:
         return state, []
     answer = make_answer(state.node, get_vitals(state))
     return state, [Send(destination=event.source, frame=answer)]
 
 
-def take_stop(state: AgentState, event: StopRequested) -> Step:
+def handle_stop(state: AgentState, event: StopRequested) -> Step:
     """Begin a planned stop of the process."""
     state = evolve(state, node=evolve(state.node, stopping=True))
-    note = Note(event=LogEvent.NODE_STOPPING, fields={"flows": state.flows})
-    if state.leaving is not None:
-        state = evolve(state, leaving=evolve(state.leaving, drained=False))
+    note = Note(event=LogEvent.NODE_STOPPING, fields={"flows": state.flow_count})
+    if state.drain is not None:
+        state = evolve(state, drain=evolve(state.drain, drained=False))
         return state, [note]
-    state, effects = begin_drain(state, event.now)
+    state, effects = start_drain(state, event.now)
     return state, [note, *effects]
 
 
-def open_flow(state: AgentState, event: FlowOpened) -> Step:
+def handle_flow_opened(state: AgentState, event: FlowOpened) -> Step:
     """Count a new connection."""
-    state = evolve(state, flows=state.flows + 1)
-    fields = {"flow": event.flow, "flows": state.flows}
+    state = evolve(state, flow_count=state.flow_count + 1)
+    fields = {"flow": event.flow, "flows": state.flow_count}
     return state, [Note(event=LogEvent.FLOW_OPENED, fields=fields)]
 
 
-def close_flow(state: AgentState, event: FlowClosed) -> Step:
+def handle_flow_closed(state: AgentState, event: FlowClosed) -> Step:
     """Count a connection that has ended."""
-    state = evolve(state, flows=state.flows - 1)
-    fields = {"flow": event.flow, "flows": state.flows}
+    state = evolve(state, flow_count=state.flow_count - 1)
+    fields = {"flow": event.flow, "flows": state.flow_count}
     return state, [Note(event=LogEvent.FLOW_CLOSED, fields=fields)]
 
 
-def take_upstream_load(state: AgentState, event: UpstreamLoadRead) -> Step:
+def handle_upstream_load(state: AgentState, event: UpstreamLoadRead) -> Step:
     """Take in a reading of the upstream's load endpoint."""
-    was_held = event.now < state.admission.held_until
-    admission = note_upstream_load(state.admission, event.busy, event.now)
+    was_held = event.now < state.admission.slots_available_at
+    admission = record_upstream_load(state.admission, event.busy, event.now)
     state = evolve(state, admission=admission)
-    if not was_held or event.now < admission.held_until:
+    if not was_held or event.now < admission.slots_available_at:
         return state, []
-    state, effects = start_waiting(state, event.now, 0)
-    fields = {"slots": count_free(admission, event.now)}
+    state, effects = start_queued_requests(state, event.now, 0)
+    fields = {"slots": count_free_slots(admission, event.now)}
     return state, [Note(event=LogEvent.SLOTS_RELEASED, fields=fields), *effects]
 
 
-def take_handover(state: AgentState, event: HandoverReceived) -> Step:
+def handle_handover(state: AgentState, event: HandoverReceived) -> Step:
     """Answer for a leaver's tickets from now on."""
-    ledger = state.ledger
+    outcomes = state.outcomes
     for transfer in event.transfers:
-        ledger = take_transfer(ledger, transfer, event.now)
+        outcomes = merge_transfer(outcomes, transfer, event.now)
     count = sum(len(transfer.records) for transfer in event.transfers)
-    state = evolve(state, ledger=ledger)
+    state = evolve(state, outcomes=outcomes)
     note = Note(event=LogEvent.OUTCOMES_TAKEN, fields={"records": count})
     return state, [note]
--- a/shedsill/http3/_agent_state.py
+++ b/shedsill/http3/_agent_state.py
@@ -11,7 +11,7 @@
 from shedsill.http3._frames import Load
 from shedsill.http3._keys import KeyRing
 from shedsill.http3._node import Node, Vitals
-from shedsill.http3._outcomes import Ledger, OutcomeKey, Transfer
+from shedsill.http3._outcomes import OutcomeTable, IssuerKey, Transfer
 from shedsill.http3._placement import Policy, TwoCandidates
 from shedsill.http3._status import StatusWriter
 
@@ -22,7 +22,7 @@
 
     Attributes
     ----------
-    handshakes : Rate
+    handshake_rate : Rate
         Above this rate of new flows, callers must prove their address (Retry).
     slow_start : float
         Seconds over which a new agent's share of new flows grows.
@@ -33,70 +33,70 @@
         no limit.
     """
 
-    handshakes: Rate = field(factory=lambda: Rate(per_second=100.0, burst=200.0))
+    handshake_rate: Rate = field(factory=lambda: Rate(per_second=100.0, burst=200.0))
     slow_start: float = 10.0
     handover_attempts: int = 5
     drain_limit: float = 0.0
 
 
 @frozen(kw_only=True)
-class Placed:
+class PlacementDecision:
     """What was decided for a caller's first connection ID.
 
     Attributes
     ----------
     upstream : int
         Number of the upstream that takes the flow.
-    at : float
+    decided_at : float
         Local time of the decision.
     """
 
     upstream: int
-    at: float
+    decided_at: float
 
 
 @frozen(kw_only=True)
-class Hint:
+class PeerLoad:
     """The freshest report of another upstream's load.
 
     Attributes
     ----------
-    heard : float
+    reported_at : float
         Local time at which some balancer heard it.
-    own : int
+    own_flows : int
         Flows of this agent when it learned of the report.
-    passed : int
+    forwarded_flows : int
         Flows that this agent has passed on to it since.
     """
 
     load: Load
-    heard: float
-    own: int
-    passed: int = 0
+    reported_at: float
+    own_flows: int
+    forwarded_flows: int = 0
 
 
 @frozen(kw_only=True)
-class Leaving:
+class DrainProgress:
     """How far a drain has come.
 
     Attributes
     ----------
-    since : float
+    started_at : float
         Local time at which it began.
-    outgoing : tuple of Transfer
+    pending_transfers : tuple of Transfer
         Records that the successor has not yet taken.
-    asked, attempts : float, int
+    last_offer_at, offers_made : float, int
         When the record was last offered, and how often.
     drained : bool
         Whether no flow is left and the record is handed over.
     """
 
-    since: float
+    started_at: float
     successor: int = 0
-    outgoing: tuple[Transfer, ...] = ()
-    emptied: bool = False
-    asked: float = 0.0
-    attempts: int = 0
+    pending_transfers: tuple[Transfer, ...] = ()
+    handover_prepared: bool = False
+    last_offer_at: float = 0.0
+    offers_made: int = 0
     drained: bool = False
 
 
@@ -110,19 +110,19 @@
         From the settings; the numbers come from the configuration.
     upstream, service : int
         0 while the configuration does not name this agent.
-    flows : int
+    flow_count : int
         Open connections.
-    started : float
+    slow_start_at : float
         Local time from which slow start counts.
     decisions : Map
         What was decided for callers' first connection IDs, for some seconds.
-    hints : Map
+    peer_loads : Map
         Loads of other upstreams, by number.
     reply_paths : Map
         Balancers that delivered datagrams, and when they were last heard.
-    handed_to : Map
+    record_successors : Map
         The upstream that took over each incarnation's records.
-    status : StatusWriter
+    status_writer : StatusWriter
         What is known of this node's object in the platform.
     """
 
@@ -133,19 +133,19 @@
     settings: AgentSettings = field(factory=AgentSettings)
     policy: Policy = field(factory=TwoCandidates)
     admission: Admission = field(factory=Admission)
-    ledger: Ledger = field(factory=Ledger)
+    outcomes: OutcomeTable = field(factory=OutcomeTable)
     upstream: int = 0
     service: int = 0
-    flows: int = 0
-    started: float = 0.0
+    flow_count: int = 0
+    slow_start_at: float = 0.0
     next_ticket: int = 1
-    decisions: immutables.Map[bytes, Placed] = field(factory=immutables.Map)
-    hints: immutables.Map[int, Hint] = field(factory=immutables.Map)
+    decisions: immutables.Map[bytes, PlacementDecision] = field(factory=immutables.Map)
+    peer_loads: immutables.Map[int, PeerLoad] = field(factory=immutables.Map)
     reply_paths: immutables.Map[Address, float] = field(factory=immutables.Map)
-    handed_to: immutables.Map[OutcomeKey, int] = field(factory=immutables.Map)
-    handshakes: Bucket | None = None
-    leaving: Leaving | None = None
-    status: StatusWriter = field(factory=StatusWriter)
+    record_successors: immutables.Map[IssuerKey, int] = field(factory=immutables.Map)
+    handshake_bucket: Bucket | None = None
+    drain: DrainProgress | None = None
+    status_writer: StatusWriter = field(factory=StatusWriter)
 
     @property
     def incarnation(self) -> int:
@@ -153,9 +153,9 @@
         return self.node.incarnation
 
     @property
-    def origin(self) -> OutcomeKey:
+    def issuer(self) -> IssuerKey:
         """Key of the records of this run."""
-        return OutcomeKey(self.upstream, self.incarnation)
+        return IssuerKey(self.upstream, self.incarnation)
 
 
 def get_load(state: AgentState) -> Load:
@@ -163,11 +163,11 @@
     admission = state.admission
     broken = admission.breaker.failures >= admission.settings.breaker_failures
     return Load(
-        flows=state.flows,
+        flows=state.flow_count,
         flow_limit=max(admission.stream_limit, 1),
         busy=admission.running + len(admission.queue),
         slots=max(admission.slots, 1),
-        open=state.leaving is None and not broken and state.upstream != 0,
+        open=state.drain is None and not broken and state.upstream != 0,
     )
 
 
--- a/shedsill/http3/_drain.py
+++ b/shedsill/http3/_drain.py
@@ -5,7 +5,7 @@
 from attrs import evolve
 
 from shedsill._catalogue import LogEvent
-from shedsill.http3._agent_state import AgentState, Leaving
+from shedsill.http3._agent_state import AgentState, DrainProgress
 from shedsill.http3._configuration import UpstreamState
 from shedsill.http3._effects import (
     AnnounceDrain,
@@ -15,10 +15,10 @@
     Note,
 )
 from shedsill.http3._events import HandoverDone
-from shedsill.http3._outcomes import Ledger, add_origin, make_transfers
+from shedsill.http3._outcomes import OutcomeTable, add_issuer, make_transfers
 from shedsill.http3._status import NodeStatus, write_status
 
-HANDOVER_PAUSE = 1.0
+HANDOVER_RETRY_SECONDS = 1.0
 
 Step = tuple[AgentState, list[Effect]]
 
@@ -26,110 +26,110 @@
 def update_drain(state: AgentState, now: float) -> Step:
     """Begin or cancel a drain, as the configuration and the process want it."""
     upstream = state.node.configuration.find_upstream(state.upstream)
-    wanted = upstream is not None and upstream.state == UpstreamState.DRAINING
-    wanted = wanted or state.node.stopping
-    if wanted and state.leaving is None:
-        return begin_drain(state, now)
-    if not wanted and state.leaving is not None:
+    needed = upstream is not None and upstream.state == UpstreamState.DRAINING
+    needed = needed or state.node.stopping
+    if needed and state.drain is None:
+        return start_drain(state, now)
+    if not needed and state.drain is not None:
         return _cancel_drain(state, now)
     return state, []
 
 
-def begin_drain(state: AgentState, now: float) -> Step:
+def start_drain(state: AgentState, now: float) -> Step:
     """Take no new work from now on."""
-    state = evolve(state, leaving=Leaving(since=now))
-    fields = {"flows": state.flows}
+    state = evolve(state, drain=DrainProgress(started_at=now))
+    fields = {"flows": state.flow_count}
     return state, [Note(event=LogEvent.DRAIN_BEGAN, fields=fields), AnnounceDrain()]
 
 
 def _cancel_drain(state: AgentState, now: float) -> Step:
-    state = evolve(state, leaving=None, started=now)
+    state = evolve(state, drain=None, slow_start_at=now)
     return state, [Note(event=LogEvent.DRAIN_CANCELLED, fields={})]
 
 
 def advance_drain(state: AgentState, now: float) -> Step:
     """Take the next step of a drain, if one is due."""
-    leaving = state.leaving
-    if leaving is None or leaving.drained:
+    drain = state.drain
+    if drain is None or drain.drained:
         return state, []
-    if not leaving.emptied:
+    if not drain.handover_prepared:
         if not _is_empty(state, now):
             return state, []
-        state = _collect_record(state, now)
-        leaving = state.leaving
-        assert leaving is not None
-    if not leaving.outgoing:
+        state = _prepare_handover(state, now)
+        drain = state.drain
+        assert drain is not None
+    if not drain.pending_transfers:
         return _finish_drain(state)
-    if now - leaving.asked < HANDOVER_PAUSE and leaving.attempts:
+    if now - drain.last_offer_at < HANDOVER_RETRY_SECONDS and drain.offers_made:
         return state, []
-    if leaving.attempts >= state.settings.handover_attempts:
+    if drain.offers_made >= state.settings.handover_attempts:
         note = Note(event=LogEvent.HANDOVER_FAILED, fields={})
         state, effects = _finish_drain(state)
         return state, [note, *effects]
-    return _offer_record(state, leaving, now)
+    return _offer_records(state, drain, now)
 
 
 def _is_empty(state: AgentState, now: float) -> bool:
-    if state.flows == 0 and not state.admission.requests:
+    if state.flow_count == 0 and not state.admission.requests:
         return True
     limit = state.settings.drain_limit
-    assert state.leaving is not None
-    return limit > 0.0 and now - state.leaving.since > limit
+    assert state.drain is not None
+    return limit > 0.0 and now - state.drain.started_at > limit
 
 
-def _collect_record(state: AgentState, now: float) -> AgentState:
+def _prepare_handover(state: AgentState, now: float) -> AgentState:
     """Stop answering for issued tickets and take the next incarnation.
 
     From here on only the successor may answer for them, whether or not the
     word that it has taken them arrives.
     """
-    assert state.leaving is not None
+    assert state.drain is not None
     successor = state.node.configuration.find_successor(state.upstream)
-    transfers = make_transfers(state.ledger, now)
-    handed = state.handed_to
-    for key in state.ledger.origins:
+    transfers = make_transfers(state.outcomes, now)
+    handed = state.record_successors
+    for key in state.outcomes.issuers:
         handed = handed.set(key, successor)
     known = successor != 0
-    leaving = evolve(
-        state.leaving,
-        emptied=True,
+    drain = evolve(
+        state.drain,
+        handover_prepared=True,
         successor=successor,
-        outgoing=transfers if known else (),
+        pending_transfers=transfers if known else (),
     )
     node = evolve(state.node, incarnation=state.node.incarnation + 1)
-    state = evolve(state, node=node, leaving=leaving, handed_to=handed, ledger=Ledger())
-    return evolve(state, ledger=add_origin(state.ledger, state.origin))
+    state = evolve(state, node=node, drain=drain, record_successors=handed, outcomes=OutcomeTable())
+    return evolve(state, outcomes=add_issuer(state.outcomes, state.issuer))
 
 
-def _offer_record(state: AgentState, leaving: Leaving, now: float) -> Step:
-    successor = state.node.configuration.find_upstream(leaving.successor)
-    asked = evolve(leaving, asked=now, attempts=leaving.attempts + 1)
-    state = evolve(state, leaving=asked)
+def _offer_records(state: AgentState, drain: DrainProgress, now: float) -> Step:
+    successor = state.node.configuration.find_upstream(drain.successor)
+    offered = evolve(drain, last_offer_at=now, offers_made=drain.offers_made + 1)
+    state = evolve(state, drain=offered)
     if successor is None:
         return state, []
     effect = HandOver(
         peer=successor.socket_address,
         upstream=successor.number,
-        transfers=leaving.outgoing,
+        transfers=drain.pending_transfers,
     )
     return state, [effect]
 
 
-def take_handover_result(state: AgentState, event: HandoverDone) -> Step:
+def handle_handover_result(state: AgentState, event: HandoverDone) -> Step:
     """Note whether the successor has the record."""
-    leaving = state.leaving
-    if leaving is None or not event.taken or not leaving.outgoing:
+    drain = state.drain
+    if drain is None or not event.taken or not drain.pending_transfers:
         return state, []
-    count = sum(len(transfer.records) for transfer in leaving.outgoing)
-    state = evolve(state, leaving=evolve(leaving, outgoing=()))
-    fields = {"records": count, "successor": leaving.successor}
+    count = sum(len(transfer.records) for transfer in drain.pending_transfers)
+    state = evolve(state, drain=evolve(drain, pending_transfers=()))
+    fields = {"records": count, "successor": drain.successor}
     state, effects = _finish_drain(state)
     return state, [Note(event=LogEvent.OUTCOMES_HANDED, fields=fields), *effects]
 
 
 def _finish_drain(state: AgentState) -> Step:
-    assert state.leaving is not None
-    state = evolve(state, leaving=evolve(state.leaving, drained=True))
+    assert state.drain is not None
+    state = evolve(state, drain=evolve(state.drain, drained=True))
     effects: list[Effect] = [
         Note(event=LogEvent.DRAIN_ENDED, fields={"upstream": state.upstream_name})
     ]
@@ -138,11 +138,11 @@
     return state, effects
 
 
-def get_status(state: AgentState) -> NodeStatus:
+def get_node_status(state: AgentState) -> NodeStatus:
     """Return the status that this node's object in the platform should hold."""
-    if state.leaving is None:
+    if state.drain is None:
         return NodeStatus.SERVING
-    return NodeStatus.DRAINED if state.leaving.drained else NodeStatus.DRAINING
+    return NodeStatus.DRAINED if state.drain.drained else NodeStatus.DRAINING
 
 
 def report_status(state: AgentState, now: float) -> Step:
@@ -155,6 +155,6 @@
         "stopping": state.node.stopping,
     }
     writer, effects = write_status(
-        state.status, state.node.name, get_status(state), details, now
+        state.status_writer, state.node.name, get_node_status(state), details, now
     )
-    return evolve(state, status=writer), effects
+    return evolve(state, status_writer=writer), effects
--- a/shedsill/http3/_flows.py
+++ b/shedsill/http3/_flows.py
@@ -7,7 +7,7 @@
 from shedsill._addresses import Address
 from shedsill._catalogue import LogEvent
 from shedsill._limits import take_token
-from shedsill.http3._agent_state import AgentState, Hint, Placed, get_load
+from shedsill.http3._agent_state import AgentState, PeerLoad, PlacementDecision, get_load
 from shedsill.http3._configuration import AcceptedUpstream
 from shedsill.http3._effects import (
     Deliver,
@@ -24,20 +24,20 @@
 from shedsill.http3._packets import Packet, PacketKind, read_packet
 from shedsill.http3._placement import SLOW_START_FLOOR, choose_alternate, rank_upstreams
 
-DECISION_LIFETIME = 10.0
-PASS_PATIENCE = 0.8
-REPLY_PATH_SILENCE = 1.5
-REPLY_PATH_FRESH = 1.2
-REPLY_PATH_STEP = 0.25
+DECISION_LIFETIME_SECONDS = 10.0
+FORWARD_TIMEOUT_SECONDS = 0.8
+REPLY_PATH_TIMEOUT_SECONDS = 1.5
+REPLY_PATH_FRESH_SECONDS = 1.2
+REPLY_PATH_UPDATE_SECONDS = 0.25
 MAX_DECISIONS = 20_000
-HINT_STEP = 0.001
+REPORT_AGE_RESOLUTION_SECONDS = 0.001
 
 Step = tuple[AgentState, list[Effect]]
 
 
-def take_frame(state: AgentState, event: FrameReceived, frame: ToUpstream) -> Step:
+def handle_caller_datagram(state: AgentState, event: FrameReceived, frame: ToUpstream) -> Step:
     """Decide what becomes of a caller's datagram."""
-    state = note_reply_path(state, event.source, event.now, passed=frame.passed)
+    state = record_reply_path(state, event.source, event.now, passed=frame.passed)
     if frame.upstream != state.upstream or frame.service != state.service:
         fields = {"upstream": frame.upstream, "service": frame.service}
         return state, [Note(event=LogEvent.DATAGRAM_MISROUTED, fields=fields)]
@@ -55,7 +55,7 @@
     if packet.kind != PacketKind.INITIAL:
         fields = {"octets": len(frame.datagram)}
         return state, [Note(event=LogEvent.DATAGRAM_UNROUTABLE, fields=fields)]
-    return _take_new_flow(state, event, frame, packet, reply_to)
+    return _handle_new_flow(state, event, frame, packet, reply_to)
 
 
 def _deliver(frame: ToUpstream, reply_to: Address, *, fresh: bool) -> Deliver:
@@ -76,7 +76,7 @@
     return [Note(event=LogEvent.FLOW_RESET, fields={}), effect]
 
 
-def _take_new_flow(
+def _handle_new_flow(
     state: AgentState,
     event: FrameReceived,
     frame: ToUpstream,
@@ -88,16 +88,16 @@
         return _repeat_decision(state, event, frame, packet, decision, reply_to)
     if not packet.has_token:
         bucket, taken = take_token(
-            state.handshakes, state.settings.handshakes, event.now
+            state.handshake_bucket, state.settings.handshake_rate, event.now
         )
-        state = evolve(state, handshakes=bucket)
-        if not taken and state.leaving is None:
+        state = evolve(state, handshake_bucket=bucket)
+        if not taken and state.drain is None:
             note = Note(event=LogEvent.FLOW_RETRIED, fields={})
             retry = RequireRetry(
                 caller=frame.caller, datagram=frame.datagram, reply_to=reply_to
             )
             return state, [note, retry]
-    return _place(state, event, frame, packet, reply_to)
+    return _place_flow(state, event, frame, packet, reply_to)
 
 
 def _repeat_decision(
@@ -105,7 +105,7 @@
     event: FrameReceived,
     frame: ToUpstream,
     packet: Packet,
-    decision: Placed,
+    decision: PlacementDecision,
     reply_to: Address,
 ) -> Step:
     """Do as before; but a flow passed on in vain is kept here in the end."""
@@ -113,15 +113,15 @@
         return state, [_deliver(frame, reply_to, fresh=True)]
     if frame.passed:
         # Two agents that each chose the other would hand it to and fro for ever.
-        return _place(state, event, frame, packet, reply_to)
+        return _place_flow(state, event, frame, packet, reply_to)
     target = state.node.configuration.find_upstream(decision.upstream)
-    waited = event.now - decision.at > PASS_PATIENCE
-    if target is None or (waited and state.leaving is None):
-        return _keep(state, event, frame, packet, reply_to)
-    return state, [_pass_on(state, frame, target, reply_to)]
+    waited = event.now - decision.decided_at > FORWARD_TIMEOUT_SECONDS
+    if target is None or (waited and state.drain is None):
+        return _keep_flow(state, event, frame, packet, reply_to)
+    return state, [_forward_datagram(state, frame, target, reply_to)]
 
 
-def _place(
+def _place_flow(
     state: AgentState,
     event: FrameReceived,
     frame: ToUpstream,
@@ -129,31 +129,31 @@
     reply_to: Address,
 ) -> Step:
     load = get_load(state)
-    warmth = get_warmth(state, event.now)
+    warmth = get_slow_start_share(state, event.now)
     target = None
     if not frame.passed:
-        state, alternate = _weigh_alternate(state, frame.alternate, event.now)
+        state, alternate = _estimate_alternate(state, frame.alternate, event.now)
         if choose_alternate(state.policy, load, alternate, warmth=warmth):
             assert alternate is not None
             target = state.node.configuration.find_upstream(alternate.upstream)
         elif not load.open:
             target = _find_other(state, packet)
     if target is not None:
-        state = _count_passed(state, target.number)
-        state = _remember(state, packet, target.number, event.now)
+        state = _count_forwarded(state, target.number)
+        state = _record_decision(state, packet, target.number, event.now)
         fields = {"upstream": target.name, "flows": load.flows}
         note = Note(event=LogEvent.FLOW_PASSED, fields=fields)
-        return state, [note, _pass_on(state, frame, target, reply_to)]
-    if state.leaving is not None or load.flows >= load.flow_limit or not load.open:
+        return state, [note, _forward_datagram(state, frame, target, reply_to)]
+    if state.drain is not None or load.flows >= load.flow_limit or not load.open:
         fields = {"flows": load.flows, "limit": load.flow_limit, "open": load.open}
         refusal = RefuseFlow(
             caller=frame.caller, datagram=frame.datagram, reply_to=reply_to
         )
         return state, [Note(event=LogEvent.FLOW_REFUSED, fields=fields), refusal]
-    return _keep(state, event, frame, packet, reply_to)
+    return _keep_flow(state, event, frame, packet, reply_to)
 
 
-def _weigh_alternate(
+def _estimate_alternate(
     state: AgentState, candidate: Candidate | None, now: float
 ) -> tuple[AgentState, Candidate | None]:
     """Merge a balancer's report with what has happened since it was made.
@@ -164,35 +164,35 @@
     if candidate is None:
         return state, None
     heard = now - candidate.age
-    hint = state.hints.get(candidate.upstream)
-    changed = hint is None or candidate.load != hint.load
-    if hint is None or (changed and heard > hint.heard + HINT_STEP):
-        hint = Hint(load=candidate.load, heard=heard, own=state.flows)
-        state = evolve(state, hints=state.hints.set(candidate.upstream, hint))
+    peer_load = state.peer_loads.get(candidate.upstream)
+    changed = peer_load is None or candidate.load != peer_load.load
+    if peer_load is None or (changed and heard > peer_load.reported_at + REPORT_AGE_RESOLUTION_SECONDS):
+        peer_load = PeerLoad(load=candidate.load, reported_at=heard, own_flows=state.flow_count)
+        state = evolve(state, peer_loads=state.peer_loads.set(candidate.upstream, peer_load))
     peers = len(state.node.configuration.list_upstreams(state.service)) - 1
-    grown = state.flows - hint.own
-    flows = hint.load.flows + grown + hint.passed * max(peers, 1)
-    load = evolve(hint.load, flows=max(flows, 0))
-    return state, evolve(candidate, load=load, age=max(now - hint.heard, 0.0))
+    grown = state.flow_count - peer_load.own_flows
+    flows = peer_load.load.flows + grown + peer_load.forwarded_flows * max(peers, 1)
+    load = evolve(peer_load.load, flows=max(flows, 0))
+    return state, evolve(candidate, load=load, age=max(now - peer_load.reported_at, 0.0))
 
 
-def _count_passed(state: AgentState, upstream: int) -> AgentState:
-    hint = state.hints.get(upstream)
-    if hint is None:
+def _count_forwarded(state: AgentState, upstream: int) -> AgentState:
+    peer_load = state.peer_loads.get(upstream)
+    if peer_load is None:
         return state
-    hint = evolve(hint, passed=hint.passed + 1)
-    return evolve(state, hints=state.hints.set(upstream, hint))
+    peer_load = evolve(peer_load, forwarded_flows=peer_load.forwarded_flows + 1)
+    return evolve(state, peer_loads=state.peer_loads.set(upstream, peer_load))
 
 
-def _keep(
+def _keep_flow(
     state: AgentState,
     event: FrameReceived,
     frame: ToUpstream,
     packet: Packet,
     reply_to: Address,
 ) -> Step:
-    state = _remember(state, packet, state.upstream, event.now)
-    fields = {"caller": str(frame.caller), "flows": state.flows}
+    state = _record_decision(state, packet, state.upstream, event.now)
+    fields = {"caller": str(frame.caller), "flows": state.flow_count}
     note = Note(event=LogEvent.FLOW_KEPT, fields=fields)
     return state, [note, _deliver(frame, reply_to, fresh=True)]
 
@@ -208,7 +208,7 @@
     return others[0] if others else None
 
 
-def _pass_on(
+def _forward_datagram(
     state: AgentState, frame: ToUpstream, target: AcceptedUpstream, reply_to: Address
 ) -> Send:
     passed = ToUpstream(
@@ -222,49 +222,49 @@
     return Send(destination=target.socket_address, frame=passed)
 
 
-def _remember(
+def _record_decision(
     state: AgentState, packet: Packet, upstream: int, now: float
 ) -> AgentState:
     decisions = state.decisions
     if len(decisions) >= MAX_DECISIONS:
         return state
-    placed = Placed(upstream=upstream, at=now)
-    return evolve(state, decisions=decisions.set(packet.cid, placed))
+    decision = PlacementDecision(upstream=upstream, decided_at=now)
+    return evolve(state, decisions=decisions.set(packet.cid, decision))
 
 
-def get_warmth(state: AgentState, now: float) -> float:
+def get_slow_start_share(state: AgentState, now: float) -> float:
     """Return how far slow start has come, from its floor to 1."""
     span = state.settings.slow_start
     if span <= 0.0:
         return 1.0
-    share = (now - state.started) / span
+    share = (now - state.slow_start_at) / span
     return min(max(share, SLOW_START_FLOOR), 1.0)
 
 
-def forget_decisions(state: AgentState, now: float) -> AgentState:
+def drop_expired_decisions(state: AgentState, now: float) -> AgentState:
     """Drop decisions on handshakes that are long over."""
     decisions = state.decisions
-    for cid, placed in state.decisions.items():
-        if now - placed.at > DECISION_LIFETIME:
+    for cid, decision in state.decisions.items():
+        if now - decision.decided_at > DECISION_LIFETIME_SECONDS:
             decisions = decisions.delete(cid)
     if decisions is state.decisions:
         return state
     return evolve(state, decisions=decisions)
 
 
-def note_reply_path(
+def record_reply_path(
     state: AgentState, source: Address, now: float, *, passed: bool
 ) -> AgentState:
     """Note that a balancer is alive; agents that pass flows on are none."""
     if passed:
         return state
     heard = state.reply_paths.get(source)
-    if heard is not None and now - heard < REPLY_PATH_STEP:
+    if heard is not None and now - heard < REPLY_PATH_UPDATE_SECONDS:
         return state
     return evolve(state, reply_paths=state.reply_paths.set(source, now))
 
 
-def move_reply_paths(state: AgentState, now: float) -> Step:
+def replace_silent_reply_paths(state: AgentState, now: float) -> Step:
     """Leave balancers that have fallen silent for one heard of just now.
 
     A flow whose caller only listens sends nothing that would show the agent a
@@ -273,7 +273,7 @@
     fresh = [
         (heard, address)
         for address, heard in state.reply_paths.items()
-        if now - heard < REPLY_PATH_FRESH
+        if now - heard < REPLY_PATH_FRESH_SECONDS
     ]
     if not fresh:
         return state, []
@@ -281,7 +281,7 @@
     effects: list[Effect] = []
     paths = state.reply_paths
     for address, heard in state.reply_paths.items():
-        if now - heard <= REPLY_PATH_SILENCE:
+        if now - heard <= REPLY_PATH_TIMEOUT_SECONDS:
             continue
         paths = paths.delete(address)
         fields = {"silent": str(address), "instead": str(best)}
--- a/shedsill/http3/_peers.py
+++ b/shedsill/http3/_peers.py
@@ -15,7 +15,7 @@
 from shedsill.http3._outcomes import (
     Done,
     MayHaveRun,
-    OutcomeKey,
+    IssuerKey,
     Record,
     Refused,
     Transfer,
@@ -91,9 +91,9 @@
     message = SCHEMA.Handover.new_message(upstream=handover.upstream)
     entries = message.init("transfers", len(handover.transfers))
     for entry, transfer in zip(entries, handover.transfers, strict=True):
-        entry.upstream = transfer.key.upstream
-        entry.incarnation = transfer.key.incarnation
-        entry.clock = transfer.clock
+        entry.upstream = transfer.issuer.upstream
+        entry.incarnation = transfer.issuer.incarnation
+        entry.clock = transfer.issuer_time
         records = entry.init("records", len(transfer.records))
         for slot, (number, record) in zip(records, transfer.records, strict=True):
             slot.number = number
@@ -103,7 +103,7 @@
 
 def _fill_record(slot: capnp._DynamicStructBuilder, record: Record) -> None:
     slot.fingerprint = record.fingerprint
-    slot.expires = record.expires
+    slot.expires = record.expires_at
     match record:
         case Done(answer=answer):
             _fill_answer(slot.init("done"), answer)
@@ -124,8 +124,8 @@
 
 def _read_transfer(entry: capnp._DynamicStructReader) -> Transfer:
     return Transfer(
-        key=OutcomeKey(entry.upstream, entry.incarnation),
-        clock=entry.clock,
+        issuer=IssuerKey(entry.upstream, entry.incarnation),
+        issuer_time=entry.clock,
         records=tuple((slot.number, _read_record(slot)) for slot in entry.records),
     )
 
@@ -135,11 +135,11 @@
     match str(slot.which()):
         case "done":
             answer = _read_answer(slot.done)
-            return Done(fingerprint=fingerprint, expires=slot.expires, answer=answer)
+            return Done(fingerprint=fingerprint, expires_at=slot.expires, answer=answer)
         case "refused":
-            return Refused(fingerprint=fingerprint, expires=slot.expires)
+            return Refused(fingerprint=fingerprint, expires_at=slot.expires)
         case _:
-            return MayHaveRun(fingerprint=fingerprint, expires=slot.expires)
+            return MayHaveRun(fingerprint=fingerprint, expires_at=slot.expires)
 
 
 @contextlib.contextmanager
--- a/shedsill/http3/_reducer.py
+++ b/shedsill/http3/_reducer.py
@@ -84,7 +84,7 @@
         case BalancerState():
             return _balancer.take_tick(state, event)
         case AgentState():
-            return _agent.take_tick(state, event)
+            return _agent.handle_tick(state, event)
 
 
 def _reduce_balancer(
@@ -108,36 +108,36 @@
 def _reduce_agent(state: AgentState, event: Event) -> tuple[AgentState, list[Effect]]:
     match event:
         case FrameReceived():
-            return _agent.take_any_frame(state, event)
+            return _agent.handle_frame(state, event)
         case FlowOpened():
-            return _agent.open_flow(state, event)
+            return _agent.handle_flow_opened(state, event)
         case FlowClosed():
-            return _agent.close_flow(state, event)
+            return _agent.handle_flow_closed(state, event)
         case RequestArrived():
-            return _requests.take_request(state, event)
+            return _requests.handle_request(state, event)
         case RequestCancelled():
-            return _requests.take_cancellation(state, event)
+            return _requests.handle_cancellation(state, event)
         case UpstreamBegan():
-            return _requests.take_beginning(state, event)
+            return _requests.handle_answer_started(state, event)
         case UpstreamAnswered():
-            return _requests.take_answer(state, event)
+            return _requests.handle_upstream_answer(state, event)
         case UpstreamFailed():
-            return _requests.take_failure(state, event)
+            return _requests.handle_upstream_failure(state, event)
         case PeerAnswered():
-            return _requests.take_peer_answer(state, event)
+            return _requests.handle_peer_answer(state, event)
         case PeerFailed():
-            return _requests.take_peer_failure(state, event)
+            return _requests.handle_peer_failure(state, event)
         case UpstreamLoadRead():
-            return _agent.take_upstream_load(state, event)
+            return _agent.handle_upstream_load(state, event)
         case ConfigurationOffered():
-            return _agent.take_configuration(state, event)
+            return _agent.handle_configuration(state, event)
         case HandoverReceived():
-            return _agent.take_handover(state, event)
+            return _agent.handle_handover(state, event)
         case HandoverDone():
-            return _drain.take_handover_result(state, event)
+            return _drain.handle_handover_result(state, event)
         case PlatformAnswered():
-            return evolve(state, status=take_status_outcome(state.status, event)), []
+            return evolve(state, status_writer=take_status_outcome(state.status_writer, event)), []
         case StopRequested():
-            return _agent.take_stop(state, event)
+            return _agent.handle_stop(state, event)
         case _:
             raise InvariantError(f"an agent was given {type(event).__name__}")
--- a/shedsill/http3/_settling.py
+++ b/shedsill/http3/_request_completion.py
@@ -25,7 +25,7 @@
     RequestArrived,
 )
 from shedsill.http3._outcomes import (
-    MAX_RECORDED_BODY,
+    MAX_RECORDED_BODY_BYTES,
     Done,
     MayHaveRun,
     Record,
@@ -45,55 +45,55 @@
 Step = tuple[AgentState, list[Effect]]
 
 
-def settle_relayed(state: AgentState, request: Request) -> Step:
+def complete_relayed(state: AgentState, request: Request) -> Step:
     """Close the record of an answer that was too long to be kept."""
     waiters = get_waiters(state, request)
     state = record_unknown(state, request)
-    effects: list[Effect] = [note_request(LogEvent.REQUEST_DONE, request)]
+    effects: list[Effect] = [log_request(LogEvent.REQUEST_DONE, request)]
     for number in waiters:
-        state, waiter = take_out(state, number)
+        state, waiter = remove_request(state, number)
         if waiter is not None:
             reason = "the request ran; its answer was too long to be kept"
-            effects.append(say_unknown(waiter, STATUS_CONFLICT, reason))
+            effects.append(build_unknown_answer(waiter, STATUS_CONFLICT, reason))
     return state, effects
 
 
-def settle_done(state: AgentState, request: Request, answer: RecordedAnswer) -> Step:
+def complete_with_answer(state: AgentState, request: Request, answer: RecordedAnswer) -> Step:
     """Give the answer to a request and to all that repeated it."""
     waiters = get_waiters(state, request)
-    record = find_own_record(state, request)
+    record = find_request_record(state, request)
     if record is not None:
-        small = len(answer.body) <= MAX_RECORDED_BODY
+        small = len(answer.body) <= MAX_RECORDED_BODY_BYTES
         settled = (
-            Done(fingerprint=record.fingerprint, expires=record.expires, answer=answer)
+            Done(fingerprint=record.fingerprint, expires_at=record.expires_at, answer=answer)
             if small
-            else MayHaveRun(fingerprint=record.fingerprint, expires=record.expires)
+            else MayHaveRun(fingerprint=record.fingerprint, expires_at=record.expires_at)
         )
-        state = put_outcome(state, request, settled)
-    effects: list[Effect] = [note_request(LogEvent.REQUEST_DONE, request)]
+        state = put_request_record(state, request, settled)
+    effects: list[Effect] = [log_request(LogEvent.REQUEST_DONE, request)]
     for number in (request.number, *waiters):
-        state, waiter = take_out(state, number)
+        state, waiter = remove_request(state, number)
         ticket = waiter.ticket if waiter else request.ticket
         effects.append(Answer(request=number, answer=answer, ticket=ticket))
     return state, effects
 
 
-def give_up(
+def complete_without_answer(
     state: AgentState, request: Request, reason: str, now: float, seed: int
 ) -> Step:
     """Refuse a request, as not run if nothing of it reached the upstream."""
     if request.sent:
         state = set_admission(state, drop_request(state.admission, request, now))
-        return settle_unknown(state, request, STATUS_BAD_GATEWAY, reason)
+        return complete_unknown(state, request, STATUS_BAD_GATEWAY, reason)
     retry_after = get_retry_after(state.admission, now, seed)
     state = set_admission(state, drop_request(state.admission, request, now))
     waiters = get_waiters(state, request)
     state = record_refusal(state, request)
     effects: list[Effect] = []
     for number in (request.number, *waiters):
-        state, waiter = take_out(state, number)
+        state, waiter = remove_request(state, number)
         refused = waiter or evolve(request, number=number)
-        fields = {**describe_request(refused), "reason": reason}
+        fields = {**get_log_fields(refused), "reason": reason}
         effects.append(Note(event=LogEvent.REQUEST_REFUSED, fields=fields))
         effects.append(
             Refuse(
@@ -108,36 +108,36 @@
     return state, effects
 
 
-def settle_unknown(
+def complete_unknown(
     state: AgentState, request: Request, status: int, reason: str
 ) -> Step:
     """Say that a request may have run, to its caller and all who repeated it."""
     waiters = get_waiters(state, request)
     state = record_unknown(state, request)
-    if request.began:
+    if request.answer_started:
         effects: list[Effect] = [
-            note_request(LogEvent.ANSWER_CUT, request),
+            log_request(LogEvent.ANSWER_CUT, request),
             CutAnswer(request=request.number),
         ]
     else:
         effects = [
-            note_request(LogEvent.REQUEST_UNKNOWN, request),
-            say_unknown(request, status, reason),
+            log_request(LogEvent.REQUEST_UNKNOWN, request),
+            build_unknown_answer(request, status, reason),
         ]
     for number in waiters:
-        state, waiter = take_out(state, number)
+        state, waiter = remove_request(state, number)
         if waiter is not None:
-            effects.append(say_unknown(waiter, status, reason))
+            effects.append(build_unknown_answer(waiter, status, reason))
     return state, effects
 
 
 def get_waiters(state: AgentState, request: Request) -> tuple[int, ...]:
     """Return the requests that wait for the same outcome."""
-    record = find_own_record(state, request)
+    record = find_request_record(state, request)
     return record.waiters if isinstance(record, Running) else ()
 
 
-def take_out(state: AgentState, number: int) -> tuple[AgentState, Request | None]:
+def remove_request(state: AgentState, number: int) -> tuple[AgentState, Request | None]:
     """Drop a request and return it, if it was there."""
     request = state.admission.requests.get(number)
     if request is None:
@@ -145,36 +145,36 @@
     return set_admission(state, drop_request(state.admission, request, 0.0)), request
 
 
-def find_own_record(state: AgentState, request: Request) -> Record | None:
+def find_request_record(state: AgentState, request: Request) -> Record | None:
     """Return the record of a request's ticket."""
-    if request.origin is None:
+    if request.issuer is None:
         return None
-    return find_record(state.ledger, request.origin, request.ticket_number)
+    return find_record(state.outcomes, request.issuer, request.ticket_number)
 
 
-def put_outcome(state: AgentState, request: Request, record: Record) -> AgentState:
+def put_request_record(state: AgentState, request: Request, record: Record) -> AgentState:
     """Replace the record of a request's ticket."""
-    assert request.origin is not None
-    ledger = put_record(state.ledger, request.origin, request.ticket_number, record)
-    return evolve(state, ledger=ledger)
+    assert request.issuer is not None
+    outcomes = put_record(state.outcomes, request.issuer, request.ticket_number, record)
+    return evolve(state, outcomes=outcomes)
 
 
 def record_refusal(state: AgentState, request: Request) -> AgentState:
     """Record that a request did not run and never will."""
-    record = find_own_record(state, request)
+    record = find_request_record(state, request)
     if record is None:
         return state
-    refused = Refused(fingerprint=record.fingerprint, expires=record.expires)
-    return put_outcome(state, request, refused)
+    refused = Refused(fingerprint=record.fingerprint, expires_at=record.expires_at)
+    return put_request_record(state, request, refused)
 
 
 def record_unknown(state: AgentState, request: Request) -> AgentState:
     """Record that a request may have run."""
-    record = find_own_record(state, request)
+    record = find_request_record(state, request)
     if record is None:
         return state
-    unknown = MayHaveRun(fingerprint=record.fingerprint, expires=record.expires)
-    return put_outcome(state, request, unknown)
+    unknown = MayHaveRun(fingerprint=record.fingerprint, expires_at=record.expires_at)
+    return put_request_record(state, request, unknown)
 
 
 def set_admission(state: AgentState, admission: Admission) -> AgentState:
@@ -182,7 +182,7 @@
     return evolve(state, admission=admission)
 
 
-def refuse_request(
+def build_refusal(
     state: AgentState,
     request: Request,
     status: int,
@@ -203,7 +203,7 @@
     )
 
 
-def say_unknown(request: Request, status: int, reason: str) -> Refuse:
+def build_unknown_answer(request: Request, status: int, reason: str) -> Refuse:
     """Return the answer to a request that may have run."""
     return Refuse(
         request=request.number,
@@ -214,11 +214,11 @@
     )
 
 
-def describe_request(request: Request) -> dict[str, Any]:
+def get_log_fields(request: Request) -> dict[str, Any]:
     """Return the fields by which log lines name a request."""
     return {"request": request.number, "class": request.request_class.name}
 
 
-def note_request(event: LogEvent, request: Request) -> Note:
+def log_request(event: LogEvent, request: Request) -> Note:
     """Return a log line about a request."""
-    return Note(event=event, fields=describe_request(request))
+    return Note(event=event, fields=get_log_fields(request))
--- a/shedsill/http3/_runtime/agent.py
+++ b/shedsill/http3/_runtime/agent.py
@@ -67,19 +67,19 @@
 from shedsill.http3._runtime.control import ControlServer
 from shedsill.http3._runtime.driver import Driver
 from shedsill.http3._runtime.exchange import Body, Exchange
-from shedsill.http3._runtime.flows import KEEPALIVE_INTERVAL, FlowHooks, FlowTable
-from shedsill.http3._runtime.notes import Notebook
+from shedsill.http3._runtime.flows import KEEPALIVE_INTERVAL_SECONDS, FlowCallbacks, FlowTable
+from shedsill.http3._runtime.log import EventLog
 from shedsill.http3._runtime.peers import (
     HTTP_GONE,
     PEER_HANDOVER_PATH,
     PEER_REQUEST_PATH,
     PeerClient,
 )
-from shedsill.http3._runtime.quic import Minter, make_quic_configuration
-from shedsill.http3._runtime.upstream import Failed, Relayed, UpstreamClient, Whole
+from shedsill.http3._runtime.quic import ConnectionIdGenerator, make_quic_configuration
+from shedsill.http3._runtime.upstream import FailedCall, RelayedAnswer, UpstreamClient, BufferedAnswer
 
-LOAD_INTERVAL = 0.2
-NONCE_LENGTH = 6
+LOAD_POLL_SECONDS = 0.2
+NONCE_BYTES = 6
 HTTP_FORBIDDEN = 403
 OUTCOME_HEADER = "shedsill-outcome"
 TICKET_HEADER = "shedsill-ticket"
@@ -134,20 +134,20 @@
         """Send the head."""
         agent = self._agent
         agent.dispatch(UpstreamBegan(request=self._exchange.number, now=agent.now))
-        extra = make_headers(RequestOutcome.DONE, self._ticket)
-        agent.flows.send_head(self._exchange, status, (*headers, *extra))
+        extra = make_outcome_headers(RequestOutcome.DONE, self._ticket)
+        agent.flow_table.send_head(self._exchange, status, (*headers, *extra))
 
     async def write(self, data: bytes) -> None:
         """Send a part."""
-        await self._agent.flows.wait_for_room(self._exchange)
-        self._agent.flows.send_body(self._exchange, data, ended=False)
+        await self._agent.flow_table.wait_for_send_buffer(self._exchange)
+        self._agent.flow_table.send_body(self._exchange, data, ended=False)
 
     def end(self) -> None:
         """Send the end."""
-        self._agent.flows.send_body(self._exchange, b"", ended=True)
+        self._agent.flow_table.send_body(self._exchange, b"", ended=True)
 
 
-def make_headers(
+def make_outcome_headers(
     outcome: RequestOutcome, ticket: str, *, reason: str = "", retry_after: int = 0
 ) -> tuple[Header, ...]:
     """Return the fields that every answer carries beside the upstream's."""
@@ -170,23 +170,23 @@
         *,
         keys: KeyRing,
         platform: Platform,
-        notebook: Notebook,
+        event_log: EventLog,
         upstream: UpstreamClient,
         certificates: CertificateLoader,
     ) -> None:
         state = make_agent_state(options, keys)
-        super().__init__(state, keys=keys, platform=platform, notebook=notebook)
+        super().__init__(state, keys=keys, platform=platform, event_log=event_log)
         self._upstream = upstream
         self._zone = options.zone
         self._certificates = certificates
         self._exchanges: dict[int, Exchange] = {}
-        self.flows: FlowTable = None  # type: ignore[assignment]
+        self.flow_table: FlowTable = None  # type: ignore[assignment]
         self._add_gauges()
         self.control = self.add_dependency(
             ControlServer(
                 options.address,
                 keys=keys,
-                registry=notebook.registry,
+                registry=event_log.registry,
                 get_configuration=lambda: self.node_state.node.configuration,
                 get_status=self.get_status,
                 routes=(
@@ -197,9 +197,9 @@
         )
 
     def _add_gauges(self) -> None:
-        registry = self.notebook.registry
+        registry = self.event_log.registry
         readings = {
-            "shedsill_flows": ("Open flows", lambda: self.node_state.flows),
+            "shedsill_flows": ("Open flows", lambda: self.node_state.flow_count),
             "shedsill_running": (
                 "Requests in slots",
                 lambda: self.node_state.admission.running,
@@ -214,7 +214,7 @@
             ),
             "shedsill_records": (
                 "Outcomes recorded",
-                lambda: self.node_state.ledger.size,
+                lambda: self.node_state.outcomes.record_count,
             ),
         }
         for name, (text, read) in readings.items():
@@ -224,7 +224,7 @@
         """Return what ``/status`` shows."""
         state = self.node_state
         generation = state.node.configuration.generation
-        held = self.now < state.admission.held_until
+        slots_held = self.now < state.admission.slots_available_at
         return {
             "name": state.node.name,
             "role": "agent",
@@ -232,10 +232,10 @@
             "service": state.service_name,
             "upstream": state.upstream_name,
             "generation": generation,
-            "ready": state.upstream != 0 and state.leaving is None and not held,
-            "leaving": state.leaving is not None,
-            "drained": state.leaving is not None and state.leaving.drained,
-            "flows": state.flows,
+            "ready": state.upstream != 0 and state.drain is None and not slots_held,
+            "leaving": state.drain is not None,
+            "drained": state.drain is not None and state.drain.drained,
+            "flows": state.flow_count,
             "running": state.admission.running,
             "queued": len(state.admission.queue),
             "streams": state.admission.streams,
@@ -243,24 +243,24 @@
 
     async def on_start(self) -> None:
         """Prepare QUIC and the upstream client."""
-        minter = Minter(mint=self._mint, make_reset_token=self.keys.make_reset_token)
-        hooks = FlowHooks(
-            send=self._send_to_caller,
-            opened=lambda flow: self.dispatch(FlowOpened(flow=flow, now=self.now)),
-            closed=lambda flow: self.dispatch(FlowClosed(flow=flow, now=self.now)),
-            arrived=self._announce,
-            cancelled=self._cancel,
-            lost=self._reset_lost,
-            failed=self._note_flow_failure,
+        id_generator = ConnectionIdGenerator(generate=self._generate_id, make_reset_token=self.keys.make_reset_token)
+        callbacks = FlowCallbacks(
+            send_datagram=self._send_to_caller,
+            on_opened=lambda flow: self.dispatch(FlowOpened(flow=flow, now=self.now)),
+            on_closed=lambda flow: self.dispatch(FlowClosed(flow=flow, now=self.now)),
+            on_request=self._dispatch_request,
+            on_cancelled=self._cancel,
+            on_unknown_flow=self._reset_unknown_flow,
+            on_failed=self._log_flow_failure,
         )
-        self.flows = FlowTable(minter, hooks)
+        self.flow_table = FlowTable(id_generator, callbacks)
         await self._upstream.start()
         await self._load_certificate()
         await super().on_start()
 
     async def on_stop(self) -> None:
         """Close connections and the upstream client."""
-        self.flows.close_all()
+        self.flow_table.close_all()
         await super().on_stop()
         await self._upstream.close()
 
@@ -271,36 +271,36 @@
             configuration.certificate = loaded.certificate
             configuration.certificate_chain = list(loaded.chain)
             configuration.private_key = loaded.private_key
-            self.flows.configuration = configuration
+            self.flow_table.configuration = configuration
         if note is not None:
-            self.write_note(note)
+            self.write_log(note)
 
     @mode.Service.task
     async def _refresh_certificate(self) -> None:
         while not self.should_stop:
-            await asyncio.sleep(self._certificates.get_pause())
+            await asyncio.sleep(self._certificates.get_refresh_delay())
             await self._load_certificate()
 
     @mode.Service.task
     async def _read_upstream_load(self) -> None:
         while not self.should_stop:
-            if self.now < self.node_state.admission.held_until:
+            if self.now < self.node_state.admission.slots_available_at:
                 busy = await self._upstream.read_load()
                 if busy is not None:
                     self.dispatch(UpstreamLoadRead(busy=busy, now=self.now))
-            await asyncio.sleep(LOAD_INTERVAL)
+            await asyncio.sleep(LOAD_POLL_SECONDS)
 
     @mode.Service.task
     async def _keep_alive(self) -> None:
         while not self.should_stop:
-            await asyncio.sleep(KEEPALIVE_INTERVAL)
-            self.flows.keep_alive()
+            await asyncio.sleep(KEEPALIVE_INTERVAL_SECONDS)
+            self.flow_table.send_keepalives()
 
-    def _mint(self) -> bytes:
+    def _generate_id(self) -> bytes:
         state = self.node_state
         route = Route(state.upstream, state.service, state.incarnation)
         epoch = state.node.configuration.key_epoch
-        return self.keys.mint(route, epoch=epoch, nonce=os.urandom(NONCE_LENGTH))
+        return self.keys.mint(route, epoch=epoch, nonce=os.urandom(NONCE_BYTES))
 
     def _send_to_caller(
         self, caller: Address, datagram: bytes, balancer: Address
@@ -316,64 +316,64 @@
         )
         self.send_envelope(balancer, encode_frame(self.keys, frame))
 
-    def _reset_lost(self, caller: Address, datagram: bytes, balancer: Address) -> None:
+    def _reset_unknown_flow(self, caller: Address, datagram: bytes, balancer: Address) -> None:
         packet = read_packet(datagram)
         if packet is not None:
-            self.flows.reset(caller, packet.cid, len(datagram), balancer)
+            self.flow_table.send_stateless_reset(caller, packet.cid, len(datagram), balancer)
 
-    def _note_flow_failure(self, flow: int, error: Exception) -> None:
+    def _log_flow_failure(self, flow: int, error: Exception) -> None:
         fields = {"flow": flow, "error": f"{type(error).__name__}: {error}"}
-        self.write_note(Note(event=LogEvent.FLOW_FAILED, fields=fields))
+        self.write_log(Note(event=LogEvent.FLOW_FAILED, fields=fields))
 
-    def carry_out(self, effect: Effect) -> None:
+    def execute(self, effect: Effect) -> None:
         """Carry out an effect."""
         match effect:
             case Deliver():
-                self.flows.deliver(effect)
+                self.flow_table.deliver(effect)
             case RefuseFlow(caller=caller, datagram=datagram, reply_to=reply_to):
-                self.flows.refuse(caller, datagram, reply_to)
+                self.flow_table.refuse_flow(caller, datagram, reply_to)
             case RequireRetry():
-                self.flows.require_retry(effect)
+                self.flow_table.require_retry(effect)
             case ResetFlow(caller=caller, cid=cid, size=size, reply_to=reply_to):
-                self.flows.reset(caller, cid, size, reply_to)
+                self.flow_table.send_stateless_reset(caller, cid, size, reply_to)
             case MoveReplyPath(old=old, new=new):
-                self.flows.move_reply_path(old, new)
+                self.flow_table.move_reply_path(old, new)
             case AnnounceDrain():
-                self.flows.announce_drain()
+                self.flow_table.announce_drain()
             case HandOver():
-                self.run(self._hand_over(effect))
+                self.start_task(self._hand_over(effect))
             case ApplyConfiguration():
                 pass
             case _:
-                self._carry_out_for_request(effect)
+                self._execute_for_request(effect)
 
-    def _carry_out_for_request(self, effect: Effect) -> None:
+    def _execute_for_request(self, effect: Effect) -> None:
         number = getattr(effect, "request", None)
         if number is None:
-            super().carry_out(effect)
+            super().execute(effect)
             return
         exchange = self._exchanges.get(number)
         if exchange is None:
             return
         match effect:
             case StartUpstream():
-                exchange.task = self.run(self._send_upstream(exchange, effect))
+                exchange.task = self.start_task(self._send_upstream(exchange, effect))
             case AbortUpstream():
                 if exchange.task is not None:
                     exchange.task.cancel()
             case Answer(answer=answer, ticket=ticket, outcome=outcome):
-                headers = make_headers(outcome, ticket)
+                headers = make_outcome_headers(outcome, ticket)
                 self._finish(exchange, answer, headers)
             case Refuse():
                 self._refuse(exchange, effect)
             case CutAnswer():
-                self.flows.cut(exchange)
+                self.flow_table.reset_stream(exchange)
                 self._drop(exchange)
             case PassRequest():
-                exchange.task = self.run(self._pass_request(exchange, effect))
+                exchange.task = self.start_task(self._forward_request(exchange, effect))
             case DeclineRequest():
-                if exchange.reply is not None and not exchange.reply.done():
-                    exchange.reply.set_result(None)
+                if exchange.reply_future is not None and not exchange.reply_future.done():
+                    exchange.reply_future.set_result(None)
                 self._drop(exchange)
 
     def _refuse(self, exchange: Exchange, effect: Refuse) -> None:
@@ -382,7 +382,7 @@
             headers=(Header(name="content-type", value="text/plain"),),
             body=f"{effect.outcome.value}: {effect.reason}\n".encode(),
         )
-        headers = make_headers(
+        headers = make_outcome_headers(
             effect.outcome,
             effect.ticket,
             reason=effect.reason,
@@ -396,21 +396,21 @@
         """Send a whole answer, with our fields in place of any of the same name."""
         ours = {header.name for header in extra}
         kept = tuple(header for header in answer.headers if header.name not in ours)
-        if exchange.reply is not None:
-            if not exchange.reply.done():
-                exchange.reply.set_result(evolve(answer, headers=(*kept, *extra)))
+        if exchange.reply_future is not None:
+            if not exchange.reply_future.done():
+                exchange.reply_future.set_result(evolve(answer, headers=(*kept, *extra)))
         else:
             empty = not answer.body
-            self.flows.send_head(exchange, answer.status, (*kept, *extra), ended=empty)
+            self.flow_table.send_head(exchange, answer.status, (*kept, *extra), ended=empty)
             if not empty:
-                self.flows.send_body(exchange, answer.body, ended=True)
-            self.flows.forget(exchange)
+                self.flow_table.send_body(exchange, answer.body, ended=True)
+            self.flow_table.drop_exchange(exchange)
         self._drop(exchange)
 
     def _drop(self, exchange: Exchange) -> None:
         self._exchanges.pop(exchange.number, None)
 
-    def _announce(self, exchange: Exchange) -> None:
+    def _dispatch_request(self, exchange: Exchange) -> None:
         self._exchanges[exchange.number] = exchange
         self.dispatch(
             RequestArrived(
@@ -419,7 +419,7 @@
                 stream=exchange.stream,
                 method=exchange.method,
                 path=exchange.path,
-                key=exchange.key,
+                key=exchange.idempotency_key,
                 fingerprint=exchange.make_fingerprint(),
                 whole=exchange.body.ended,
                 now=self.now,
@@ -439,12 +439,12 @@
     async def _send_upstream(self, exchange: Exchange, effect: StartUpstream) -> None:
         result = await self._upstream.send(
             exchange,
-            hold=effect.hold_answer or exchange.reply is not None,
+            buffered=effect.hold_answer or exchange.reply_future is not None,
             make_relay=lambda: _StreamRelay(self, exchange, effect.ticket),
         )
         now, seed = self.now, self.draw_seed()
         match result:
-            case Whole(answer=answer, shed=shed):
+            case BufferedAnswer(answer=answer, shed=shed):
                 self.dispatch(
                     UpstreamAnswered(
                         request=exchange.number,
@@ -454,8 +454,8 @@
                         seed=seed,
                     )
                 )
-            case Relayed():
-                self.flows.forget(exchange)
+            case RelayedAnswer():
+                self.flow_table.drop_exchange(exchange)
                 self._drop(exchange)
                 self.dispatch(
                     UpstreamAnswered(
@@ -466,26 +466,26 @@
                         seed=seed,
                     )
                 )
-            case Failed(sent=sent):
+            case FailedCall(sent=sent):
                 self.dispatch(
                     UpstreamFailed(
                         request=exchange.number, sent=sent, now=now, seed=seed
                     )
                 )
 
-    async def _pass_request(self, exchange: Exchange, effect: PassRequest) -> None:
+    async def _forward_request(self, exchange: Exchange, effect: PassRequest) -> None:
         request = PeerRequest(
             service=self.node_state.service,
             upstream=effect.upstream,
             method=exchange.method,
             path=exchange.path,
             headers=exchange.headers,
-            body=exchange.body.read_all(),
-            key=exchange.key,
+            body=exchange.body.get_buffered(),
+            key=exchange.idempotency_key,
         )
-        answer, gone = await self._get_peers().post_request(effect.peer, request)
+        answer, gone = await self._get_peers().forward_request(effect.peer, request)
         if answer is not None:
-            self._finish_passed(exchange, answer)
+            self._finish_forwarded(exchange, answer)
             return
         self.dispatch(
             PeerFailed(
@@ -496,7 +496,7 @@
             )
         )
 
-    def _finish_passed(self, exchange: Exchange, answer: RecordedAnswer) -> None:
+    def _finish_forwarded(self, exchange: Exchange, answer: RecordedAnswer) -> None:
         """Give a caller the issuer's answer with the outcome that it names."""
         named = [h.value for h in answer.headers if h.name == OUTCOME_HEADER]
         outcome = RequestOutcome(named[0]) if named else RequestOutcome.UNKNOWN
@@ -517,7 +517,7 @@
         body = Body()
         body.append(passed.body, ended=True)
         exchange = Exchange(
-            number=next(self.flows.exchange_numbers),
+            number=next(self.flow_table.exchange_numbers),
             flow=-1,
             stream=-1,
             method=passed.method,
@@ -525,11 +525,11 @@
             authority="",
             headers=passed.headers,
             body=body,
-            announced=True,
-            reply=asyncio.get_running_loop().create_future(),
+            dispatched=True,
+            reply_future=asyncio.get_running_loop().create_future(),
         )
-        self._announce(exchange)
-        answer = await exchange.reply
+        self._dispatch_request(exchange)
+        answer = await exchange.reply_future
         if answer is None:
             return web.Response(status=HTTP_GONE)
         return web.Response(body=encode_peer_answer(self.keys, answer))
--- a/shedsill/http3/_runtime/balancer.py
+++ b/shedsill/http3/_runtime/balancer.py
@@ -22,11 +22,11 @@
 from shedsill.http3._routing import FlowLimits, Router
 from shedsill.http3._runtime.control import ControlServer
 from shedsill.http3._runtime.driver import Driver, enlarge_buffers
-from shedsill.http3._runtime.notes import Notebook
+from shedsill.http3._runtime.log import EventLog
 
 LEASE_KIND = "lease"
 LEASE_NAME = "acceptor"
-LEASE_TIME = 3.0
+LEASE_SECONDS = 3.0
 
 
 @frozen(kw_only=True)
@@ -48,7 +48,7 @@
     seeds: tuple[Address, ...] = ()
     zone: str = ""
     service_host: str = ""
-    lease_time: float = LEASE_TIME
+    lease_time: float = LEASE_SECONDS
     limits: FlowLimits
     settings: BalancerSettings
 
@@ -109,15 +109,15 @@
         *,
         keys: KeyRing,
         platform: Platform,
-        notebook: Notebook,
+        event_log: EventLog,
     ) -> None:
         state = make_balancer_state(options, keys)
-        super().__init__(state, keys=keys, platform=platform, notebook=notebook)
+        super().__init__(state, keys=keys, platform=platform, event_log=event_log)
         self._options = options
         self._sockets: dict[int, asyncio.DatagramTransport] = {}
         self._opened: dict[int, Address] = {}
         members = Gauge(
-            "shedsill_live_nodes", "Nodes heard of", registry=notebook.registry
+            "shedsill_live_nodes", "Nodes heard of", registry=event_log.registry
         )
         members.set_function(
             lambda: len(list_live(self.node_state.node.membership, self.now))
@@ -126,7 +126,7 @@
             ControlServer(
                 options.address,
                 keys=keys,
-                registry=notebook.registry,
+                registry=event_log.registry,
                 get_configuration=lambda: self.node_state.node.configuration,
                 get_status=self.get_status,
             )
@@ -156,7 +156,7 @@
             transport.close()
         await super().on_stop()
 
-    def carry_out(self, effect: Effect) -> None:
+    def execute(self, effect: Effect) -> None:
         """Carry out an effect."""
         match effect:
             case SendToCaller(service=service, caller=caller, datagram=datagram):
@@ -164,9 +164,9 @@
                 if transport is not None:
                     transport.sendto(datagram, caller.pair)
             case ApplyConfiguration(configuration=configuration):
-                self.run(self._open_services(configuration))
+                self.start_task(self._open_services(configuration))
             case _:
-                super().carry_out(effect)
+                super().execute(effect)
 
     async def _open_services(self, configuration: Configuration) -> None:
         wanted = {
--- a/shedsill/http3/_runtime/certificates.py
+++ b/shedsill/http3/_runtime/certificates.py
@@ -20,7 +20,7 @@
 
 CERTIFICATE_KIND = "certificate"
 PLATFORM_PREFIX = "platform:"
-PEM_MARK = "-----BEGIN"
+PEM_PREFIX = "-----BEGIN"
 REFRESH_SECONDS = 30.0
 
 
@@ -46,9 +46,9 @@
 
     certificate: str
     private_key: str = ""
-    _seen: str = ""
+    _loaded_digest: str = ""
 
-    def get_pause(self) -> float:
+    def get_refresh_delay(self) -> float:
         """Return the seconds until the next look at the source, jittered."""
         return REFRESH_SECONDS * random.uniform(0.75, 1.25)
 
@@ -62,12 +62,12 @@
                 return _make_failure("the platform did not answer"), None
             certificate, private_key = texts
             digest = hashlib.blake2b((certificate + private_key).encode()).hexdigest()
-            if digest == self._seen:
+            if digest == self._loaded_digest:
                 return None, None
             loaded = parse_certificate(certificate, private_key)
         except (OSError, ValueError, IndexError, TypeError) as error:
             return _make_failure(str(error)), None
-        self._seen = digest
+        self._loaded_digest = digest
         fields = {"digest": digest[:12]}
         return Note(event=LogEvent.CERTIFICATE_LOADED, fields=fields), loaded
 
@@ -84,7 +84,7 @@
 
 def read_pem(source: str) -> str:
     """Return PEM text, from the setting itself or from a file."""
-    if source.startswith(PEM_MARK):
+    if source.startswith(PEM_PREFIX):
         return source
     return pathlib.Path(source).read_text()
 
@@ -107,7 +107,7 @@
     try:
         parse_certificate(read_pem(certificate), read_pem(private_key))
     except (OSError, ValueError, IndexError, TypeError):
-        shown = certificate if PEM_MARK not in certificate else "(PEM text)"
+        shown = certificate if PEM_PREFIX not in certificate else "(PEM text)"
         raise SettingError(setting, shown, allowed) from None
 
 
--- a/shedsill/http3/_runtime/connections.py
+++ b/shedsill/http3/_runtime/connections.py
@@ -29,7 +29,7 @@
     return aiohttp.TCPConnector(socket_factory=_open_socket, **options)
 
 
-def make_limit(seconds: float) -> aiohttp.ClientTimeout:
+def make_timeout(seconds: float) -> aiohttp.ClientTimeout:
     """Return a limit for an answer to begin and for each further part of it.
 
     A limit for the whole would have to be as long as the largest answer takes on the
--- a/shedsill/http3/_runtime/control.py
+++ b/shedsill/http3/_runtime/control.py
@@ -14,7 +14,7 @@
 from shedsill.http3._configuration import Configuration, encode_configuration_text
 from shedsill.http3._keys import KeyRing, seal_envelope
 
-MAX_PEER_MESSAGE = 64 * 1024 * 1024
+MAX_PEER_MESSAGE_BYTES = 64 * 1024 * 1024
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
 
@@ -50,7 +50,7 @@
 
     async def on_start(self) -> None:
         """Listen."""
-        app = web.Application(client_max_size=MAX_PEER_MESSAGE)
+        app = web.Application(client_max_size=MAX_PEER_MESSAGE_BYTES)
         app.router.add_get("/healthz", self._answer_health)
         app.router.add_get("/readyz", self._answer_ready)
         app.router.add_get("/metrics", self._answer_metrics)
--- a/shedsill/http3/_runtime/driver.py
+++ b/shedsill/http3/_runtime/driver.py
@@ -38,14 +38,14 @@
 from shedsill.http3._frames import Heartbeat, decode_frame, encode_frame
 from shedsill.http3._keys import KeyRing, open_envelope
 from shedsill.http3._reducer import reduce
-from shedsill.http3._runtime.connections import make_connector, make_limit
-from shedsill.http3._runtime.notes import Notebook
+from shedsill.http3._runtime.connections import make_connector, make_timeout
+from shedsill.http3._runtime.log import EventLog
 
-TICK_INTERVAL = 0.05
-PEER_TIMEOUT = 2.0
+TICK_INTERVAL_SECONDS = 0.05
+PEER_TIMEOUT_SECONDS = 2.0
 """Seconds for another node's answer to begin, and for each further part of it."""
 
-SOCKET_BUFFER = 4 * 1024 * 1024
+SOCKET_BUFFER_BYTES = 4 * 1024 * 1024
 _State = TypeVar("_State")
 
 
@@ -75,13 +75,13 @@
     """
 
     def __init__(
-        self, state: Any, *, keys: KeyRing, platform: Platform, notebook: Notebook
+        self, state: Any, *, keys: KeyRing, platform: Platform, event_log: EventLog
     ) -> None:
         super().__init__()
         self.node_state = state
         self.keys = keys
         self.platform = platform
-        self.notebook = notebook
+        self.event_log = event_log
         self.exited = asyncio.Event()
         self.failure: BaseException | None = None
         self._events: deque[Event] = deque()
@@ -90,7 +90,7 @@
         self._transport: asyncio.DatagramTransport | None = None
         self._tasks: set[asyncio.Task] = set()
         self.http: aiohttp.ClientSession | None = None
-        registry = notebook.registry
+        registry = event_log.registry
         self._generation = Gauge(
             "shedsill_generation", "Configuration in force", registry=registry
         )
@@ -111,7 +111,7 @@
         """Open the frame socket."""
         loop = asyncio.get_running_loop()
         self.http = aiohttp.ClientSession(
-            connector=make_connector(), timeout=make_limit(PEER_TIMEOUT)
+            connector=make_connector(), timeout=make_timeout(PEER_TIMEOUT_SECONDS)
         )
         address = self.node_state.node.address
         self._transport, _protocol = await loop.create_datagram_endpoint(
@@ -119,7 +119,7 @@
         )
         enlarge_buffers(self._transport)
         fields = {"name": self.node_state.node.name, "address": str(address)}
-        self.write_note(Note(event=LogEvent.NODE_STARTED, fields=fields))
+        self.write_log(Note(event=LogEvent.NODE_STARTED, fields=fields))
 
     async def on_stop(self) -> None:
         """Close sockets and end tasks."""
@@ -134,7 +134,7 @@
     async def _tick(self) -> None:
         while not self.should_stop:
             self.dispatch(Tick(now=self.now, seed=self.draw_seed()))
-            await asyncio.sleep(TICK_INTERVAL)
+            await asyncio.sleep(TICK_INTERVAL_SECONDS)
 
     def dispatch(self, event: Event) -> None:
         """Reduce an event, and whatever events its effects lead to."""
@@ -148,7 +148,7 @@
                     self.node_state, self._events.popleft()
                 )
                 for effect in effects:
-                    self.carry_out(effect)
+                    self.execute(effect)
         except Exception as error:
             self._fail(error)
             raise
@@ -159,7 +159,7 @@
         """Stop the process: whatever escapes a reducer breaks an invariant."""
         self.failure = error
         fields = {"error": f"{type(error).__name__}: {error}"}
-        self.write_note(Note(event=LogEvent.INVARIANT_BROKEN, fields=fields))
+        self.write_log(Note(event=LogEvent.INVARIANT_BROKEN, fields=fields))
         self.exited.set()
 
     def receive_frame(self, data: bytes, source: Address) -> None:
@@ -168,11 +168,11 @@
             frame = decode_frame(self.keys, data)
         except DecodeError:
             fields = {"source": str(source), "octets": len(data)}
-            self.write_note(Note(event=LogEvent.FRAME_REFUSED, fields=fields))
+            self.write_log(Note(event=LogEvent.FRAME_REFUSED, fields=fields))
             return
         self.dispatch(FrameReceived(frame=frame, source=source, now=self.now))
 
-    def carry_out(self, effect: Effect) -> None:
+    def execute(self, effect: Effect) -> None:
         """Carry out an effect that every role has."""
         match effect:
             case Send(destination=destination, frame=frame):
@@ -181,13 +181,13 @@
                     self._control_octets.inc(len(envelope))
                 self.send_envelope(destination, envelope)
             case Note():
-                self.write_note(effect)
+                self.write_log(effect)
             case CallPlatform():
-                self.run(self._call_platform(effect))
+                self.start_task(self._call_platform(effect))
             case PullConfiguration(peer=peer):
-                self.run(self._pull_configuration(peer))
+                self.start_task(self._pull_configuration(peer))
             case Exit():
-                self.write_note(Note(event=LogEvent.NODE_STOPPED, fields={}))
+                self.write_log(Note(event=LogEvent.NODE_STOPPED, fields={}))
                 self.exited.set()
             case _:
                 raise InvariantError(f"no way to carry out {type(effect).__name__}")
@@ -197,13 +197,13 @@
         if self._transport is not None and not self._transport.is_closing():
             self._transport.sendto(envelope, destination.pair)
 
-    def write_note(self, note: Note) -> None:
+    def write_log(self, entry: Note) -> None:
         """Log and count a note."""
-        if note.event == LogEvent.CONFIGURATION_APPLIED:
-            self._generation.set(note.fields["generation"])
-        self.notebook.write(note, self.now)
+        if entry.event == LogEvent.CONFIGURATION_APPLIED:
+            self._generation.set(entry.fields["generation"])
+        self.event_log.write(entry, self.now)
 
-    def run(self, coroutine: Coroutine[Any, Any, None]) -> asyncio.Task:
+    def start_task(self, coroutine: Coroutine[Any, Any, None]) -> asyncio.Task:
         """Run a coroutine beside the loop; it ends with the service."""
         task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
@@ -215,7 +215,7 @@
         if task.cancelled() or task.exception() is None:
             return
         fields = {"error": repr(task.exception())}
-        self.write_note(Note(event=LogEvent.TASK_FAILED, fields=fields))
+        self.write_log(Note(event=LogEvent.TASK_FAILED, fields=fields))
 
     async def _call_platform(self, effect: CallPlatform) -> None:
         outcome = await self.platform.call(effect.call)
@@ -252,5 +252,5 @@
     sock = transport.get_extra_info("socket")
     if sock is None:
         return
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SOCKET_BUFFER)
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SOCKET_BUFFER)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SOCKET_BUFFER_BYTES)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SOCKET_BUFFER_BYTES)
--- a/shedsill/http3/_runtime/exchange.py
+++ b/shedsill/http3/_runtime/exchange.py
@@ -11,8 +11,8 @@
 
 from shedsill.http3._answers import Header
 
-MAX_HELD_BODY = 262_144
-HOP_BY_HOP = frozenset(
+MAX_BUFFERED_BODY_BYTES = 262_144
+HOP_BY_HOP_HEADERS = frozenset(
     (
         "connection",
         "keep-alive",
@@ -31,14 +31,14 @@
 
     Attributes
     ----------
-    on_taken : callable
+    on_read : callable
         Called when the reader has taken a part, so that the window can move.
     """
 
-    on_taken: Callable[[], None] = field(default=lambda: None)
-    size: int = 0
+    on_read: Callable[[], None] = field(default=lambda: None)
+    buffered_bytes: int = 0
     ended: bool = False
-    failed: bool = False
+    aborted: bool = False
     _parts: deque[bytes] = field(factory=deque)
     _more: asyncio.Event = field(factory=asyncio.Event)
 
@@ -46,16 +46,16 @@
         """Take in a part."""
         if data:
             self._parts.append(data)
-            self.size += len(data)
+            self.buffered_bytes += len(data)
         self.ended = self.ended or ended
         self._more.set()
 
-    def fail(self) -> None:
+    def abort(self) -> None:
         """Note that the rest will not come."""
-        self.failed = True
+        self.aborted = True
         self._more.set()
 
-    def read_all(self) -> bytes:
+    def get_buffered(self) -> bytes:
         """Return what is held, without taking it."""
         return b"".join(self._parts)
 
@@ -64,10 +64,10 @@
         while True:
             while self._parts:
                 part = self._parts.popleft()
-                self.size -= len(part)
-                self.on_taken()
+                self.buffered_bytes -= len(part)
+                self.on_read()
                 yield part
-            if self.failed:
+            if self.aborted:
                 raise ConnectionResetError("the caller's body was cut")
             if self.ended:
                 return
@@ -85,9 +85,9 @@
         As in `shedsill.http3._events.RequestArrived`.
     flow, stream : int
         Where it came from; -1 where another agent passed it on.
-    announced : bool
+    dispatched : bool
         Whether the reducer knows of it.
-    reply : asyncio.Future or None
+    reply_future : asyncio.Future or None
         Where a passed request's answer goes.
     """
 
@@ -99,32 +99,32 @@
     authority: str
     headers: tuple[Header, ...]
     body: Body = field(factory=Body)
-    announced: bool = False
-    reply: asyncio.Future | None = None
+    dispatched: bool = False
+    reply_future: asyncio.Future | None = None
     task: asyncio.Task | None = None
 
     @property
-    def key(self) -> str:
+    def idempotency_key(self) -> str:
         """Text of ``Idempotency-Key``; a structured string loses its quotes."""
         for header in self.headers:
             if header.name == "idempotency-key":
                 return header.value.strip().strip('"')
         return ""
 
-    def can_be_decided(self) -> bool:
+    def can_be_dispatched(self) -> bool:
         """Whether the body is whole, or longer than what is held back."""
-        return self.body.ended or self.body.size >= MAX_HELD_BODY
+        return self.body.ended or self.body.buffered_bytes >= MAX_BUFFERED_BODY_BYTES
 
     def make_fingerprint(self) -> bytes:
         """Return a digest of method, path and body."""
         digest = hashlib.blake2b(digest_size=16)
-        for part in (self.method.encode(), self.path.encode(), self.body.read_all()):
+        for part in (self.method.encode(), self.path.encode(), self.body.get_buffered()):
             digest.update(len(part).to_bytes(8, "big"))
             digest.update(part)
         return digest.digest()
 
 
-def read_headers(
+def split_headers(
     pairs: list[tuple[bytes, bytes]],
 ) -> tuple[dict[str, str], tuple[Header, ...]]:
     """Split an HTTP/3 header list into pseudo-headers and fields."""
@@ -135,21 +135,21 @@
         value = raw_value.decode("latin-1")
         if name.startswith(":"):
             pseudo[name] = value
-        elif name not in HOP_BY_HOP:
+        elif name not in HOP_BY_HOP_HEADERS:
             fields.append(Header(name=name, value=value))
     return pseudo, tuple(fields)
 
 
-def encode_text(text: str) -> bytes:
+def encode_latin1(text: str) -> bytes:
     """Encode a header's name or value, held as one character an octet."""
     return text.encode("latin-1")
 
 
-def read_octets(text: str) -> str:
+def decode_aiohttp_text(text: str) -> str:
     """Turn text that aiohttp has read into one character an octet."""
     return text.encode("utf-8", "surrogateescape").decode("latin-1")
 
 
-def write_octets(text: str) -> str:
+def encode_aiohttp_text(text: str) -> str:
     """Turn one character an octet into text that aiohttp can write."""
-    return encode_text(text).decode("utf-8", "replace")
+    return encode_latin1(text).decode("utf-8", "replace")
--- a/shedsill/http3/_runtime/flows.py
+++ b/shedsill/http3/_runtime/flows.py
@@ -28,18 +28,18 @@
 from shedsill.http3._effects import Deliver, RequireRetry
 from shedsill.http3._keys import CONNECTION_ID_LENGTH
 from shedsill.http3._packets import MIN_INITIAL_SIZE
-from shedsill.http3._runtime.exchange import Body, Exchange, encode_text, read_headers
+from shedsill.http3._runtime.exchange import Body, Exchange, encode_latin1, split_headers
 from shedsill.http3._runtime.quic import (
-    Minter,
+    ConnectionIdGenerator,
     RoutedConnection,
-    make_refusal,
+    make_refusal_packet,
     make_stateless_reset,
     send_goaway,
 )
 
-KEEPALIVE_INTERVAL = 20.0
-MAX_UNSENT = 262_144
-SEND_PAUSE = 0.01
+KEEPALIVE_INTERVAL_SECONDS = 20.0
+MAX_UNSENT_BYTES = 262_144
+SEND_BUFFER_POLL_SECONDS = 0.01
 
 
 @define(eq=False)
@@ -65,7 +65,7 @@
 
 
 @define(eq=False)
-class FlowHooks:
+class FlowCallbacks:
     """What the flow table calls back.
 
     Attributes
@@ -84,21 +84,21 @@
         A flow's number and what QUIC raised on one of its datagrams.
     """
 
-    send: Callable[[Address, bytes, Address], None]
-    opened: Callable[[int], None]
-    closed: Callable[[int], None]
-    arrived: Callable[[Exchange], None]
-    cancelled: Callable[[Exchange, bool], None]
-    lost: Callable[[Address, bytes, Address], None]
-    failed: Callable[[int, Exception], None]
+    send_datagram: Callable[[Address, bytes, Address], None]
+    on_opened: Callable[[int], None]
+    on_closed: Callable[[int], None]
+    on_request: Callable[[Exchange], None]
+    on_cancelled: Callable[[Exchange, bool], None]
+    on_unknown_flow: Callable[[Address, bytes, Address], None]
+    on_failed: Callable[[int, Exception], None]
 
 
 class FlowTable:
     """All connections of one agent."""
 
-    def __init__(self, minter: Minter, hooks: FlowHooks) -> None:
-        self._minter = minter
-        self._hooks = hooks
+    def __init__(self, id_generator: ConnectionIdGenerator, callbacks: FlowCallbacks) -> None:
+        self._id_generator = id_generator
+        self._callbacks = callbacks
         self._loop = asyncio.get_running_loop()
         self._by_cid: dict[bytes, Flow] = {}
         self.flows: dict[int, Flow] = {}
@@ -118,19 +118,19 @@
         if flow is None:
             return
         flow.reply_to = effect.reply_to
-        with self._contain(flow):
+        with self._close_on_error(flow):
             flow.quic.receive_datagram(
                 effect.datagram, effect.caller.pair, now=self._loop.time()
             )
             self._process(flow)
 
     @contextlib.contextmanager
-    def _contain(self, flow: Flow) -> Iterator[None]:
+    def _close_on_error(self, flow: Flow) -> Iterator[None]:
         """End one flow, not the agent, on whatever its packets set off."""
         try:
             yield
         except Exception as error:
-            self._hooks.failed(flow.number, error)
+            self._callbacks.on_failed(flow.number, error)
             self._close(flow)
 
     def _open(self, effect: Deliver, header) -> Flow | None:
@@ -138,7 +138,7 @@
         if configuration is None:
             return None
         if header.packet_type != QuicPacketType.INITIAL:
-            self._hooks.lost(effect.caller, effect.datagram, effect.reply_to)
+            self._callbacks.on_unknown_flow(effect.caller, effect.datagram, effect.reply_to)
             return None
         if header.version not in (
             QuicProtocolVersion.VERSION_1,
@@ -173,7 +173,7 @@
         retried: bytes | None,
     ) -> Flow:
         quic = RoutedConnection(
-            minter=self._minter,
+            id_generator=self._id_generator,
             configuration=configuration,
             original_destination_connection_id=original,
             retry_source_connection_id=retried,
@@ -185,7 +185,7 @@
             flow.cids.add(cid)
             self._by_cid[cid] = flow
         self.flows[flow.number] = flow
-        self._hooks.opened(flow.number)
+        self._callbacks.on_opened(flow.number)
         return flow
 
     def _negotiate_version(self, effect: Deliver, header) -> None:
@@ -197,14 +197,14 @@
                 QuicProtocolVersion.VERSION_2,
             ],
         )
-        self._hooks.send(effect.caller, packet, effect.reply_to)
+        self._callbacks.send_datagram(effect.caller, packet, effect.reply_to)
 
     def require_retry(self, effect: RequireRetry) -> None:
         """Answer an Initial with a Retry whose ID leads back here."""
         header = pull_quic_header(
             Buffer(data=effect.datagram), host_cid_length=CONNECTION_ID_LENGTH
         )
-        cid = self._minter.mint()
+        cid = self._id_generator.generate()
         token = self._retry.create_token(
             address=effect.caller.pair,
             original_destination_connection_id=header.destination_cid,
@@ -218,18 +218,18 @@
             original_destination_cid=header.destination_cid,
             retry_token=token,
         )
-        self._hooks.send(effect.caller, packet, effect.reply_to)
+        self._callbacks.send_datagram(effect.caller, packet, effect.reply_to)
 
-    def refuse(self, caller: Address, datagram: bytes, reply_to: Address) -> None:
+    def refuse_flow(self, caller: Address, datagram: bytes, reply_to: Address) -> None:
         """Answer an Initial with a refusal."""
-        self._hooks.send(caller, make_refusal(datagram), reply_to)
+        self._callbacks.send_datagram(caller, make_refusal_packet(datagram), reply_to)
 
-    def reset(self, caller: Address, cid: bytes, size: int, reply_to: Address) -> None:
+    def send_stateless_reset(self, caller: Address, cid: bytes, size: int, reply_to: Address) -> None:
         """Answer a packet of an ended flow with a stateless reset."""
-        token = self._minter.make_reset_token(cid)
-        packet = make_stateless_reset(token, size=size, noise=os.urandom)
+        token = self._id_generator.make_reset_token(cid)
+        packet = make_stateless_reset(token, size=size, random_bytes=os.urandom)
         if packet is not None:
-            self._hooks.send(caller, packet, reply_to)
+            self._callbacks.send_datagram(caller, packet, reply_to)
 
     def move_reply_path(self, old: Address, new: Address) -> None:
         """Send replies through another balancer, and say something at once."""
@@ -246,7 +246,7 @@
                 send_goaway(flow.http, flow.quic)
                 self.transmit(flow)
 
-    def keep_alive(self) -> None:
+    def send_keepalives(self) -> None:
         """Ping callers with open requests, so that silent streams stay up."""
         for flow in list(self.flows.values()):
             if flow.exchanges and not flow.quic.is_ended():
@@ -255,10 +255,10 @@
 
     def _process(self, flow: Flow) -> None:
         while (event := flow.quic.next_event()) is not None:
-            self._take_quic_event(flow, event)
+            self._handle_quic_event(flow, event)
         self.transmit(flow)
 
-    def _take_quic_event(self, flow: Flow, event: quic_events.QuicEvent) -> None:
+    def _handle_quic_event(self, flow: Flow, event: quic_events.QuicEvent) -> None:
         match event:
             case quic_events.ProtocolNegotiated():
                 flow.http = H3Connection(flow.quic)
@@ -277,21 +277,21 @@
                 self._cancel(flow, stream_id)
         if flow.http is not None:
             for http_event in flow.http.handle_event(event):
-                self._take_http_event(flow, http_event)
+                self._handle_http_event(flow, http_event)
 
-    def _take_http_event(self, flow: Flow, event: H3Event) -> None:
+    def _handle_http_event(self, flow: Flow, event: H3Event) -> None:
         match event:
             case HeadersReceived(stream_id=stream_id) if (
                 stream_id not in flow.exchanges
             ):
                 self._open_exchange(flow, event)
             case HeadersReceived(stream_id=stream_id, stream_ended=ended):
-                self._take_body(flow, stream_id, b"", ended)
+                self._receive_body(flow, stream_id, b"", ended)
             case DataReceived(stream_id=stream_id, data=data, stream_ended=ended):
-                self._take_body(flow, stream_id, data, ended)
+                self._receive_body(flow, stream_id, data, ended)
 
     def _open_exchange(self, flow: Flow, event: HeadersReceived) -> None:
-        pseudo, headers = read_headers(event.headers)
+        pseudo, headers = split_headers(event.headers)
         stream_id = event.stream_id
         exchange = Exchange(
             number=next(self.exchange_numbers),
@@ -302,34 +302,34 @@
             authority=pseudo.get(":authority", ""),
             headers=headers,
         )
-        exchange.body = Body(on_taken=lambda: self._widen(flow, exchange))
+        exchange.body = Body(on_read=lambda: self._extend_window(flow, exchange))
         flow.exchanges[stream_id] = exchange
-        flow.quic.unread[stream_id] = 0
-        self._take_body(flow, stream_id, b"", event.stream_ended)
+        flow.quic.unread_bytes[stream_id] = 0
+        self._receive_body(flow, stream_id, b"", event.stream_ended)
 
-    def _take_body(self, flow: Flow, stream_id: int, data: bytes, ended: bool) -> None:
+    def _receive_body(self, flow: Flow, stream_id: int, data: bytes, ended: bool) -> None:
         exchange = flow.exchanges.get(stream_id)
         if exchange is None:
             return
         exchange.body.append(data, ended=ended)
-        if stream_id in flow.quic.unread:
-            flow.quic.unread[stream_id] = exchange.body.size
-        if not exchange.announced and exchange.can_be_decided():
-            exchange.announced = True
-            self._hooks.arrived(exchange)
-
-    def _widen(self, flow: Flow, exchange: Exchange) -> None:
-        if exchange.stream in flow.quic.unread:
-            flow.quic.unread[exchange.stream] = exchange.body.size
+        if stream_id in flow.quic.unread_bytes:
+            flow.quic.unread_bytes[stream_id] = exchange.body.buffered_bytes
+        if not exchange.dispatched and exchange.can_be_dispatched():
+            exchange.dispatched = True
+            self._callbacks.on_request(exchange)
+
+    def _extend_window(self, flow: Flow, exchange: Exchange) -> None:
+        if exchange.stream in flow.quic.unread_bytes:
+            flow.quic.unread_bytes[exchange.stream] = exchange.body.buffered_bytes
             self.transmit(flow)
 
     def _cancel(self, flow: Flow, stream_id: int) -> None:
         exchange = flow.exchanges.get(stream_id)
         if exchange is None:
             return
-        exchange.body.fail()
-        self._hooks.cancelled(exchange, True)
-        self.forget(exchange)
+        exchange.body.abort()
+        self._callbacks.on_cancelled(exchange, True)
+        self.drop_exchange(exchange)
 
     def _close(self, flow: Flow) -> None:
         if self.flows.pop(flow.number, None) is None:
@@ -339,17 +339,17 @@
         if flow.timer is not None:
             flow.timer.cancel()
         for exchange in list(flow.exchanges.values()):
-            exchange.body.fail()
-            self._hooks.cancelled(exchange, False)
+            exchange.body.abort()
+            self._callbacks.on_cancelled(exchange, False)
         flow.exchanges.clear()
-        self._hooks.closed(flow.number)
+        self._callbacks.on_closed(flow.number)
 
     def transmit(self, flow: Flow) -> None:
         """Send what a connection has to send and set its timer."""
         now = self._loop.time()
         for data, address in flow.quic.datagrams_to_send(now=now):
             caller = Address(address[0], address[1])
-            self._hooks.send(caller, data, flow.reply_to)
+            self._callbacks.send_datagram(caller, data, flow.reply_to)
         if flow.number not in self.flows:
             return
         timer_at = flow.quic.get_timer()
@@ -365,7 +365,7 @@
     def _handle_timer(self, flow: Flow) -> None:
         flow.timer = None
         flow.timer_at = None
-        with self._contain(flow):
+        with self._close_on_error(flow):
             flow.quic.handle_timer(now=self._loop.time())
             self._process(flow)
 
@@ -378,52 +378,52 @@
         ended: bool = False,
     ) -> None:
         """Send the head of an answer."""
-        flow = self._find(exchange)
+        flow = self._find_open_flow(exchange)
         if flow is None or flow.http is None:
             return
         pairs = [(b":status", str(status).encode())]
         pairs += [
-            (encode_text(header.name), encode_text(header.value)) for header in headers
+            (encode_latin1(header.name), encode_latin1(header.value)) for header in headers
         ]
-        with self._contain(flow):
+        with self._close_on_error(flow):
             flow.http.send_headers(exchange.stream, pairs, end_stream=ended)
             self.transmit(flow)
 
     def send_body(self, exchange: Exchange, data: bytes, *, ended: bool) -> None:
         """Send part of an answer."""
-        flow = self._find(exchange)
+        flow = self._find_open_flow(exchange)
         if flow is None or flow.http is None:
             return
-        with self._contain(flow):
+        with self._close_on_error(flow):
             flow.http.send_data(exchange.stream, data, end_stream=ended)
             self.transmit(flow)
 
-    async def wait_for_room(self, exchange: Exchange) -> None:
+    async def wait_for_send_buffer(self, exchange: Exchange) -> None:
         """Wait while a caller is far behind with taking its answer."""
-        while (flow := self._find(exchange)) is not None:
-            if flow.quic.count_unsent(exchange.stream) < MAX_UNSENT:
+        while (flow := self._find_open_flow(exchange)) is not None:
+            if flow.quic.count_unsent_bytes(exchange.stream) < MAX_UNSENT_BYTES:
                 return
-            await asyncio.sleep(SEND_PAUSE)
+            await asyncio.sleep(SEND_BUFFER_POLL_SECONDS)
         raise ConnectionResetError("the caller is gone")
 
-    def cut(self, exchange: Exchange) -> None:
+    def reset_stream(self, exchange: Exchange) -> None:
         """Reset a stream whose answer cannot be completed."""
-        flow = self._find(exchange)
+        flow = self._find_open_flow(exchange)
         if flow is None:
             return
-        with self._contain(flow):
+        with self._close_on_error(flow):
             flow.quic.reset_stream(exchange.stream, ErrorCode.H3_INTERNAL_ERROR)
             self.transmit(flow)
-        self.forget(exchange)
+        self.drop_exchange(exchange)
 
-    def forget(self, exchange: Exchange) -> None:
+    def drop_exchange(self, exchange: Exchange) -> None:
         """Drop an exchange that is over."""
         flow = self.flows.get(exchange.flow)
         if flow is not None:
             flow.exchanges.pop(exchange.stream, None)
-            flow.quic.unread.pop(exchange.stream, None)
+            flow.quic.unread_bytes.pop(exchange.stream, None)
 
-    def _find(self, exchange: Exchange) -> Flow | None:
+    def _find_open_flow(self, exchange: Exchange) -> Flow | None:
         flow = self.flows.get(exchange.flow)
         if flow is None or flow.quic.is_ended():
             return None
--- a/shedsill/http3/_runtime/notes.py
+++ b/shedsill/http3/_runtime/log.py
@@ -19,7 +19,7 @@
 from shedsill.http3._effects import Note
 
 MAX_LINES_PER_SECOND = 50
-SAMPLED = (Level.TRACE, Level.DEBUG)
+SAMPLED_LEVELS = (Level.TRACE, Level.DEBUG)
 
 
 def configure_logging(*, level: str, as_json: bool) -> None:
@@ -46,23 +46,23 @@
 
 
 @define
-class _Gate:
+class _RateLimit:
     """Lines written and left out for one event in the current second."""
 
-    second: int = 0
-    written: int = 0
-    seen: int = 0
+    window_second: int = 0
+    lines_written: int = 0
+    events_seen: int = 0
 
 
 @define
-class Notebook:
+class EventLog:
     """Writes and counts notes for one node."""
 
     node: str
     level: str = "INFO"
     sample: int = 1
     registry: CollectorRegistry = field(factory=CollectorRegistry)
-    _gates: dict[LogEvent, _Gate] = field(factory=dict)
+    _limits: dict[LogEvent, _RateLimit] = field(factory=dict)
     _counters: dict[LogEvent, Any] = field(factory=dict)
     _written: set[LogEvent] = field(factory=set)
 
@@ -79,28 +79,28 @@
             if logger.level(event.value.level.value).no >= threshold:
                 self._written.add(event)
 
-    def write(self, note: Note, now: float) -> None:
+    def write(self, entry: Note, now: float) -> None:
         """Count a note and write its line, where it is wanted."""
-        self._counters[note.event].inc()
-        if note.event not in self._written:
+        self._counters[entry.event].inc()
+        if entry.event not in self._written:
             return
-        entry = note.event.value
-        if not self._pass_gate(note.event, now):
+        definition = entry.event.value
+        if not self._is_within_limit(entry.event, now):
             return
-        bound = logger.bind(event=entry.number, node=self.node, fields=note.fields)
-        bound.log(entry.level.value, entry.text)
+        bound = logger.bind(event=definition.number, node=self.node, fields=entry.fields)
+        bound.log(definition.level.value, definition.text)
 
     def count(self, event: LogEvent) -> int:
         """Return how often an event has happened."""
         return int(self._counters[event]._value.get())
 
-    def _pass_gate(self, event: LogEvent, now: float) -> bool:
-        gate = self._gates.setdefault(event, _Gate())
-        gate.seen += 1
-        if event.value.level in SAMPLED and gate.seen % max(self.sample, 1):
+    def _is_within_limit(self, event: LogEvent, now: float) -> bool:
+        limit = self._limits.setdefault(event, _RateLimit())
+        limit.events_seen += 1
+        if event.value.level in SAMPLED_LEVELS and limit.events_seen % max(self.sample, 1):
             return False
-        if int(now) != gate.second:
-            gate.second = int(now)
-            gate.written = 0
-        gate.written += 1
-        return gate.written <= MAX_LINES_PER_SECOND
+        if int(now) != limit.window_second:
+            limit.window_second = int(now)
+            limit.lines_written = 0
+        limit.lines_written += 1
+        return limit.lines_written <= MAX_LINES_PER_SECOND
--- a/shedsill/http3/_runtime/peers.py
+++ b/shedsill/http3/_runtime/peers.py
@@ -19,8 +19,8 @@
 
 PEER_REQUEST_PATH = "/peer/request"
 PEER_HANDOVER_PATH = "/peer/handover"
-PEER_ANSWER_TIMEOUT = 60.0
-PEER_CONNECT_TIMEOUT = 1.0
+PEER_ANSWER_TIMEOUT_SECONDS = 60.0
+PEER_CONNECT_TIMEOUT_SECONDS = 1.0
 HTTP_OK = 200
 HTTP_GONE = 410
 
@@ -32,13 +32,13 @@
     http: aiohttp.ClientSession
     keys: KeyRing
 
-    async def post_request(
+    async def forward_request(
         self, peer: Address, request: PeerRequest
     ) -> tuple[RecordedAnswer | None, bool]:
         """Return the peer's answer, or None and whether it has not taken it."""
         url = f"http://{peer}{PEER_REQUEST_PATH}"
         limit = aiohttp.ClientTimeout(
-            total=PEER_ANSWER_TIMEOUT, sock_connect=PEER_CONNECT_TIMEOUT
+            total=PEER_ANSWER_TIMEOUT_SECONDS, sock_connect=PEER_CONNECT_TIMEOUT_SECONDS
         )
         data = encode_peer_request(self.keys, request)
         try:
--- a/shedsill/http3/_runtime/platform.py
+++ b/shedsill/http3/_runtime/platform.py
@@ -25,9 +25,9 @@
     Unavailable,
     Watch,
 )
-from shedsill.http3._runtime.connections import make_connector, make_limit
+from shedsill.http3._runtime.connections import make_connector, make_timeout
 
-CALL_TIMEOUT = 2.0
+CALL_TIMEOUT_SECONDS = 2.0
 HTTP_OK = 200
 HTTP_NOT_FOUND = 404
 HTTP_CONFLICT = 409
@@ -45,7 +45,7 @@
         its patience on top.
     """
 
-    def __init__(self, url: str, *, timeout: float = CALL_TIMEOUT) -> None:
+    def __init__(self, url: str, *, timeout: float = CALL_TIMEOUT_SECONDS) -> None:
         self.url = url.rstrip("/")
         self.timeout = timeout
         self._session: aiohttp.ClientSession | None = None
@@ -127,7 +127,7 @@
     ) -> dict[str, Any]:
         if self._session is None:
             self._session = aiohttp.ClientSession(connector=make_connector())
-        limit = make_limit(timeout or self.timeout)
+        limit = make_timeout(timeout or self.timeout)
         async with self._session.request(
             method, self.url + path, timeout=limit, **options
         ) as response:
--- a/shedsill/http3/_runtime/quic.py
+++ b/shedsill/http3/_runtime/quic.py
@@ -28,13 +28,13 @@
 from attrs import frozen
 
 from shedsill.http3._keys import CONNECTION_ID_LENGTH
-from shedsill.http3._runtime.exchange import MAX_HELD_BODY
+from shedsill.http3._runtime.exchange import MAX_BUFFERED_BODY_BYTES
 
-STREAM_WINDOW = 2 * MAX_HELD_BODY
-CONNECTION_WINDOW = 1_048_576
-IDLE_TIMEOUT = 60.0
-MAX_UDP_PAYLOAD = 1350
-MAX_UDP_PAYLOAD_PARAMETER = 0x03
+STREAM_WINDOW_BYTES = 2 * MAX_BUFFERED_BODY_BYTES
+CONNECTION_WINDOW_BYTES = 1_048_576
+IDLE_TIMEOUT_SECONDS = 60.0
+MAX_UDP_PAYLOAD_BYTES = 1350
+MAX_UDP_PAYLOAD_PARAMETER_ID = 0x03
 MIN_RESET_SIZE = 21
 MAX_RESET_SIZE = 60
 FIXED_BIT = 0x40
@@ -43,10 +43,10 @@
 
 
 @frozen(kw_only=True)
-class Minter:
+class ConnectionIdGenerator:
     """Makes connection IDs and the reset tokens that belong to them."""
 
-    mint: Callable[[], bytes]
+    generate: Callable[[], bytes]
     make_reset_token: Callable[[bytes], bytes]
 
 
@@ -56,7 +56,7 @@
     def __init__(
         self,
         *,
-        minter: Minter,
+        id_generator: ConnectionIdGenerator,
         configuration: QuicConfiguration,
         original_destination_connection_id: bytes,
         retry_source_connection_id: bytes | None = None,
@@ -66,14 +66,14 @@
             original_destination_connection_id=original_destination_connection_id,
             retry_source_connection_id=retry_source_connection_id,
         )
-        self._minter = minter
-        self.unread: dict[int, int] = {}
-        cid = minter.mint()
+        self._id_generator = id_generator
+        self.unread_bytes: dict[int, int] = {}
+        cid = id_generator.generate()
         self._host_cids = [
             QuicConnectionId(
                 cid=cid,
                 sequence_number=0,
-                stateless_reset_token=minter.make_reset_token(cid),
+                stateless_reset_token=id_generator.make_reset_token(cid),
                 was_sent=True,
             )
         ]
@@ -82,8 +82,8 @@
 
     def _serialize_transport_parameters(self) -> bytes:
         """Announce the largest datagram that still fits into one frame."""
-        parameter = encode_uint_var(MAX_UDP_PAYLOAD_PARAMETER)
-        value = encode_uint_var(MAX_UDP_PAYLOAD)
+        parameter = encode_uint_var(MAX_UDP_PAYLOAD_PARAMETER_ID)
+        value = encode_uint_var(MAX_UDP_PAYLOAD_BYTES)
         parameter += encode_uint_var(len(value)) + value
         return super()._serialize_transport_parameters() + parameter
 
@@ -91,18 +91,18 @@
         known = len(self._host_cids)
         super()._replenish_connection_ids()
         for entry in self._host_cids[known:]:
-            entry.cid = self._minter.mint()
-            entry.stateless_reset_token = self._minter.make_reset_token(entry.cid)
+            entry.cid = self._id_generator.generate()
+            entry.stateless_reset_token = self._id_generator.make_reset_token(entry.cid)
 
     def _write_stream_limits(self, builder, space, stream) -> None:
         """Grant what the reader has taken plus one window, not ever more."""
         stream_id = stream.stream_id
-        if stream_id & CLIENT_BIDIRECTIONAL or stream_id not in self.unread:
+        if stream_id & CLIENT_BIDIRECTIONAL or stream_id not in self.unread_bytes:
             super()._write_stream_limits(builder, space, stream)
             return
-        taken = stream.receiver.starting_offset() - self.unread[stream_id]
-        granted = taken + STREAM_WINDOW
-        if granted < stream.max_stream_data_local + STREAM_WINDOW // 4:
+        taken = stream.receiver.starting_offset() - self.unread_bytes[stream_id]
+        granted = taken + STREAM_WINDOW_BYTES
+        if granted < stream.max_stream_data_local + STREAM_WINDOW_BYTES // 4:
             granted = stream.max_stream_data_local
         stream.max_stream_data_local = granted
         if stream.max_stream_data_local_sent == granted:
@@ -117,7 +117,7 @@
         buf.push_uint_var(granted)
         stream.max_stream_data_local_sent = granted
 
-    def count_unsent(self, stream_id: int) -> int:
+    def count_unsent_bytes(self, stream_id: int) -> int:
         """Return how many octets of a stream wait to be sent or acknowledged."""
         stream = self._streams.get(stream_id)
         if stream is None:
@@ -134,10 +134,10 @@
     return QuicConfiguration(
         alpn_protocols=["h3"],
         connection_id_length=CONNECTION_ID_LENGTH,
-        idle_timeout=IDLE_TIMEOUT,
+        idle_timeout=IDLE_TIMEOUT_SECONDS,
         is_client=False,
-        max_data=CONNECTION_WINDOW,
-        max_stream_data=STREAM_WINDOW,
+        max_data=CONNECTION_WINDOW_BYTES,
+        max_stream_data=STREAM_WINDOW_BYTES,
     )
 
 
@@ -151,7 +151,7 @@
         quic.send_stream_data(http._local_control_stream_id, frame)
 
 
-def make_refusal(datagram: bytes) -> bytes:
+def make_refusal_packet(datagram: bytes) -> bytes:
     """Return the Initial packet that refuses the connection of another."""
     header = pull_quic_header(
         Buffer(data=datagram), host_cid_length=CONNECTION_ID_LENGTH
@@ -179,12 +179,12 @@
 
 
 def make_stateless_reset(
-    token: bytes, *, size: int, noise: Callable[[int], bytes]
+    token: bytes, *, size: int, random_bytes: Callable[[int], bytes]
 ) -> bytes | None:
     """Return a stateless reset smaller than the packet that it answers."""
     length = min(size - 1, MAX_RESET_SIZE)
     if length < MIN_RESET_SIZE:
         return None
-    head = bytearray(noise(length - len(token)))
+    head = bytearray(random_bytes(length - len(token)))
     head[0] = (head[0] & ~HEADER_FORM_BIT) | FIXED_BIT
     return bytes(head) + token
--- a/shedsill/http3/_runtime/upstream.py
+++ b/shedsill/http3/_runtime/upstream.py
@@ -10,23 +10,23 @@
 from yarl import URL
 
 from shedsill.http3._answers import Header, RecordedAnswer
-from shedsill.http3._outcomes import MAX_RECORDED_BODY
+from shedsill.http3._outcomes import MAX_RECORDED_BODY_BYTES
 from shedsill.http3._runtime.connections import make_connector
 from shedsill.http3._runtime.exchange import (
-    HOP_BY_HOP,
+    HOP_BY_HOP_HEADERS,
     Exchange,
-    read_octets,
-    write_octets,
+    decode_aiohttp_text,
+    encode_aiohttp_text,
 )
 
-CONNECT_TIMEOUT = 2.0
-LOAD_TIMEOUT = 1.0
-SKIPPED_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
-DROPPED_HEADERS = HOP_BY_HOP | {"idempotency-key", "host"}
+CONNECT_TIMEOUT_SECONDS = 2.0
+LOAD_TIMEOUT_SECONDS = 1.0
+SKIPPED_AUTO_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
+DROPPED_HEADERS = HOP_BY_HOP_HEADERS | {"idempotency-key", "host"}
 
 
 @frozen(kw_only=True)
-class Whole:
+class BufferedAnswer:
     """The whole answer, held back until it was complete; `shed` if not run."""
 
     answer: RecordedAnswer
@@ -34,19 +34,19 @@
 
 
 @frozen(kw_only=True)
-class Relayed:
+class RelayedAnswer:
     """The whole answer went to the caller as it came."""
 
 
 @frozen(kw_only=True)
-class Failed:
+class FailedCall:
     """No whole answer came; `sent` if a byte may have reached the upstream."""
 
     sent: bool
     reason: str
 
 
-UpstreamResult = Whole | Relayed | Failed
+UpstreamResult = BufferedAnswer | RelayedAnswer | FailedCall
 
 
 class Relay(Protocol):
@@ -93,8 +93,8 @@
         self._session = aiohttp.ClientSession(
             connector=connector,
             auto_decompress=False,
-            skip_auto_headers=SKIPPED_HEADERS,
-            timeout=aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT),
+            skip_auto_headers=SKIPPED_AUTO_HEADERS,
+            timeout=aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_SECONDS),
             cookie_jar=aiohttp.DummyCookieJar(),
         )
 
@@ -106,7 +106,7 @@
     async def read_load(self) -> int | None:
         """Return how many requests the upstream says it works on."""
         assert self._session is not None
-        limit = aiohttp.ClientTimeout(total=LOAD_TIMEOUT)
+        limit = aiohttp.ClientTimeout(total=LOAD_TIMEOUT_SECONDS)
         try:
             async with self._session.get(
                 self.url + self.load_path, timeout=limit
@@ -118,14 +118,14 @@
             return None
 
     async def send(
-        self, exchange: Exchange, *, hold: bool, make_relay: Callable[[], Relay]
+        self, exchange: Exchange, *, buffered: bool, make_relay: Callable[[], Relay]
     ) -> UpstreamResult:
         """Send a request and collect or relay its answer."""
         assert self._session is not None
         body = exchange.body
-        data = body.read_all() if body.ended else body.iterate()
+        data = body.get_buffered() if body.ended else body.iterate()
         headers = [
-            (write_octets(header.name), write_octets(header.value))
+            (encode_aiohttp_text(header.name), encode_aiohttp_text(header.value))
             for header in exchange.headers
             if header.name not in DROPPED_HEADERS
         ]
@@ -139,30 +139,30 @@
                 data=data or None,
                 allow_redirects=False,
             ) as response:
-                return await self._read(response, hold=hold, make_relay=make_relay)
+                return await self._read(response, buffered=buffered, make_relay=make_relay)
         except aiohttp.ClientConnectorError as error:
-            return Failed(sent=False, reason=str(error))
+            return FailedCall(sent=False, reason=str(error))
         except (TimeoutError, aiohttp.ClientError, OSError) as error:
-            return Failed(sent=True, reason=f"{type(error).__name__} {error}")
+            return FailedCall(sent=True, reason=f"{type(error).__name__} {error}")
 
     async def _read(
         self,
         response: aiohttp.ClientResponse,
         *,
-        hold: bool,
+        buffered: bool,
         make_relay: Callable[[], Relay],
     ) -> UpstreamResult:
         headers = tuple(
-            Header(name=read_octets(name.lower()), value=read_octets(value))
+            Header(name=decode_aiohttp_text(name.lower()), value=decode_aiohttp_text(value))
             for name, value in response.headers.items()
-            if name.lower() not in HOP_BY_HOP
+            if name.lower() not in HOP_BY_HOP_HEADERS
         )
         if not _is_framed(response):
-            return Failed(sent=True, reason="the answer's end cannot be told")
+            return FailedCall(sent=True, reason="the answer's end cannot be told")
         parts: list[bytes] = []
         size = 0
         relay = None
-        if not hold and response.status not in self.shed_statuses:
+        if not buffered and response.status not in self.shed_statuses:
             relay = make_relay()
             relay.begin(response.status, headers)
         async for part in response.content.iter_any():
@@ -171,18 +171,18 @@
                 continue
             parts.append(part)
             size += len(part)
-            if size > MAX_RECORDED_BODY:
+            if size > MAX_RECORDED_BODY_BYTES:
                 relay = make_relay()
                 relay.begin(response.status, headers)
                 await relay.write(b"".join(parts))
                 parts.clear()
         if relay is not None:
             relay.end()
-            return Relayed()
+            return RelayedAnswer()
         answer = RecordedAnswer(
             status=response.status, headers=headers, body=b"".join(parts)
         )
-        return Whole(answer=answer, shed=response.status in self.shed_statuses)
+        return BufferedAnswer(answer=answer, shed=response.status in self.shed_statuses)
 
 
 def _is_framed(response: aiohttp.ClientResponse) -> bool:
--- a/shedsill/testing/embedded.py
+++ b/shedsill/testing/embedded.py
@@ -19,7 +19,7 @@
 from shedsill.http3._runtime.agent import Agent, AgentOptions
 from shedsill.http3._runtime.balancer import Balancer, BalancerOptions
 from shedsill.http3._runtime.certificates import CertificateLoader
-from shedsill.http3._runtime.notes import Notebook
+from shedsill.http3._runtime.log import EventLog
 from shedsill.http3._runtime.platform import HttpPlatform
 from shedsill.http3._runtime.upstream import UpstreamClient
 from shedsill.testing.certificates import TestCertificate, make_certificate
@@ -116,7 +116,7 @@
             options,
             keys=self.keys,
             platform=self.make_platform_client(),
-            notebook=Notebook(node=name, level=self.log_level),
+            event_log=EventLog(node=name, level=self.log_level),
         )
         await balancer.start()
         self.balancers[name] = balancer
@@ -144,7 +144,7 @@
             options,
             keys=self.keys,
             platform=self.make_platform_client(),
-            notebook=Notebook(node=name, level=self.log_level),
+            event_log=EventLog(node=name, level=self.log_level),
             upstream=UpstreamClient(
                 url, shed_statuses=frozenset((429, 503)), load_path="/load"
             ),
--- a/shedsill/tests/test_admission.py
+++ b/shedsill/tests/test_admission.py
@@ -9,21 +9,21 @@
 from shedsill.http3._admission import (
     Admission,
     AdmissionSettings,
-    Admit,
+    AdmissionDecision,
     BreakerState,
     Request,
-    choose_next,
-    count_free,
+    choose_next_request,
+    count_free_slots,
     decide_admission,
     drop_request,
     get_retry_after,
-    note_failure,
-    note_success,
-    note_upstream_load,
+    record_failure,
+    record_success,
+    record_upstream_load,
     queue_request,
     start_request,
     take_retry,
-    try_again,
+    update_breaker,
 )
 from shedsill.http3._resources import RequestClass
 
@@ -38,8 +38,8 @@
         stream=number * 4,
         request_class=request_class,
         fingerprint=b"",
-        whole=True,
-        expires=request_class.deadline,
+        body_complete=True,
+        expires_at=request_class.deadline,
         ticket="",
     )
 
@@ -54,23 +54,23 @@
     request = admission.requests[1]
     for _ in range(2):
         admission = drop_request(admission, request, 0.0)
-    assert (admission.running, count_free(admission, 0.0)) == (1, 1)
+    assert (admission.running, count_free_slots(admission, 0.0)) == (1, 1)
 
 
 def test_aborted_request_keeps_its_slot_for_the_grace_time() -> None:
     admission = start_request(make_admission(), make_request(1), 0.0)
     admission = drop_request(admission, make_request(1), 1.0, aborted=True)
-    assert count_free(admission, 1.1) == 1
-    assert count_free(admission, 1.3) == 2
+    assert count_free_slots(admission, 1.1) == 1
+    assert count_free_slots(admission, 1.3) == 2
 
 
 def test_no_slot_is_used_until_the_upstream_has_shown_itself_idle() -> None:
-    admission = make_admission(held_until=30.0)
+    admission = make_admission(slots_available_at=30.0)
     for now, busy in ((0.0, 0), (0.5, 1), (0.6, 0), (1.2, 0)):
-        admission = note_upstream_load(admission, busy, now)
-        assert count_free(admission, now) == 0
-    admission = note_upstream_load(admission, 0, 1.7)
-    assert count_free(admission, 1.7) == 2
+        admission = record_upstream_load(admission, busy, now)
+        assert count_free_slots(admission, now) == 0
+    admission = record_upstream_load(admission, 0, 1.7)
+    assert count_free_slots(admission, 1.7) == 2
 
 
 def test_one_class_cannot_fill_the_queue() -> None:
@@ -80,20 +80,20 @@
     number = 3
     while True:
         request = make_request(number)
-        if decide_admission(admission, request, 2, 0.0).decision != Admit.QUEUE:
+        if decide_admission(admission, request, 2, 0.0).decision != AdmissionDecision.QUEUE:
             break
         admission = queue_request(admission, request)
         number += 1
     assert len(admission.queue) == 4
     other = make_request(99, UPLOAD)
-    assert decide_admission(admission, other, 2, 0.0).decision == Admit.QUEUE
+    assert decide_admission(admission, other, 2, 0.0).decision == AdmissionDecision.QUEUE
 
 
 def test_class_with_least_at_work_goes_first() -> None:
     admission = start_request(make_admission(), make_request(1), 0.0)
     for number, request_class in ((2, CLAIM), (3, UPLOAD)):
         admission = queue_request(admission, make_request(number, request_class))
-    assert choose_next(admission, 0.0) == 3
+    assert choose_next_request(admission, 0.0) == 3
 
 
 def test_what_cannot_start_in_time_is_refused_at_once() -> None:
@@ -101,7 +101,7 @@
     for number in (1, 2):
         admission = start_request(admission, make_request(number), 0.0)
     verdict = decide_admission(admission, make_request(3), 1, 0.0)
-    assert verdict.decision == Admit.REFUSE
+    assert verdict.decision == AdmissionDecision.REFUSE
     assert "in time" in verdict.reason
 
 
@@ -127,14 +127,14 @@
     settings = AdmissionSettings(breaker_failures=3, breaker_pause=2.0)
     admission = make_admission(settings=settings)
     for _ in range(3):
-        admission = note_failure(admission, 0.0)
+        admission = record_failure(admission, 0.0)
     verdict = decide_admission(admission, make_request(1), 1, 1.0)
-    assert (verdict.decision, verdict.reason) == (Admit.REFUSE, "upstream fails")
-    admission = try_again(admission, 2.0)
-    assert admission.breaker.state == BreakerState.TRYING
-    assert count_free(admission, 2.0) == 1
+    assert (verdict.decision, verdict.reason) == (AdmissionDecision.REFUSE, "upstream fails")
+    admission = update_breaker(admission, 2.0)
+    assert admission.breaker.state == BreakerState.HALF_OPEN
+    assert count_free_slots(admission, 2.0) == 1
     admission = start_request(admission, make_request(1), 2.0)
     second = decide_admission(admission, make_request(2), 1, 2.0)
-    assert second.decision == Admit.REFUSE
-    admission = note_success(drop_request(admission, make_request(1), 2.1))
-    assert count_free(admission, 2.1) == 2
+    assert second.decision == AdmissionDecision.REFUSE
+    admission = record_success(drop_request(admission, make_request(1), 2.1))
+    assert count_free_slots(admission, 2.1) == 2
--- a/shedsill/tests/test_faults.py
+++ b/shedsill/tests/test_faults.py
@@ -22,7 +22,7 @@
 
 
 @define
-class Scene:
+class Scenario:
     """A world and the flow on which something is going on."""
 
     world: World
@@ -34,7 +34,7 @@
         return self.flow.agent or "d1"
 
 
-def make_scene() -> Scene:
+def make_scenario() -> Scenario:
     """Return a world at rest with one open flow."""
     world = World(seed=7)
     for name in BALANCERS:
@@ -45,10 +45,10 @@
     flow = world.open_flow("dispatcher")
     world.settle(0.2)
     assert flow.cid
-    return Scene(world, flow)
+    return Scenario(world, flow)
 
 
-def run_request(scene: Scene, work: str, **options) -> Attempt:
+def run_request(scene: Scenario, work: str, **options) -> Attempt:
     """Send a request and let it finish."""
     attempt = scene.world.send_request(scene.flow, work, **options)
     scene.world.settle()
@@ -58,13 +58,13 @@
     return attempt
 
 
-def change(scene: Scene, action: Action, target: str = "") -> None:
+def apply_change(scene: Scenario, action: Action, target: str = "") -> None:
     """Write a change."""
     name = f"{action.value}-{target or 'x'}"
     scene.world.apply(Change(name=name, action=action, target=target))
 
 
-def set_upstreams(scene: Scene, names: tuple[str, ...]) -> None:
+def set_upstreams(scene: Scenario, names: tuple[str, ...]) -> None:
     """Write the upstreams of the dispatcher."""
     members = tuple(
         Upstream(name=name, address=str(scene.world.nodes[name].address))
@@ -74,54 +74,54 @@
     scene.world.apply(group)
 
 
-def step_first_packet(scene: Scene) -> None:
+def step_first_packet(scene: Scenario) -> None:
     scene.world.open_flow("dispatcher")
 
 
-def step_first_packet_at_agent(scene: Scene) -> None:
+def step_first_packet_at_agent(scene: Scenario) -> None:
     scene.world.open_flow("dispatcher")
     scene.world.deliver(len(scene.world.messages) - 1)
 
 
-def step_request_sent(scene: Scene) -> None:
+def step_request_sent(scene: Scenario) -> None:
     scene.world.send_request(scene.flow, "w")
 
 
-def step_request_running(scene: Scene) -> None:
+def step_request_running(scene: Scenario) -> None:
     scene.world.send_request(scene.flow, "w")
     scene.world.settle()
 
 
-def step_request_queued(scene: Scene) -> None:
+def step_request_queued(scene: Scenario) -> None:
     for index in range(4):
         scene.world.send_request(scene.flow, f"w{index}")
     scene.world.settle()
 
 
-def step_answer_on_its_way(scene: Scene) -> None:
+def step_answer_on_its_way(scene: Scenario) -> None:
     step_request_running(scene)
     scene.world.finish(scene.world.list_running()[0])
 
 
-def step_answer_cut(scene: Scene) -> None:
+def step_answer_cut(scene: Scenario) -> None:
     step_request_running(scene)
     scene.world.finish(scene.world.list_running()[0], answered=False)
 
 
-def step_deadline_passing(scene: Scene) -> None:
+def step_deadline_passing(scene: Scenario) -> None:
     for index in range(4):
         scene.world.send_request(scene.flow, f"w{index}")
     scene.world.settle(4.9, step=0.1)
 
 
-def step_cancelled(scene: Scene) -> None:
+def step_cancelled(scene: Scenario) -> None:
     attempts = [scene.world.send_request(scene.flow, f"w{i}") for i in range(4)]
     scene.world.settle()
     scene.world.cancel_request(attempts[0])
     scene.world.cancel_request(attempts[3])
 
 
-def step_retry_while_running(scene: Scene) -> None:
+def step_retry_while_running(scene: Scenario) -> None:
     ticket = run_request(scene, "r", path="/read").ticket
     scene.world.send_request(scene.flow, "w", key=ticket)
     scene.world.settle()
@@ -130,7 +130,7 @@
     scene.world.send_request(other, "w", key=ticket)
 
 
-def step_retry_when_done(scene: Scene) -> None:
+def step_retry_when_done(scene: Scenario) -> None:
     ticket = run_request(scene, "r", path="/read").ticket
     run_request(scene, "w", key=ticket)
     other = scene.world.open_flow("dispatcher")
@@ -138,48 +138,48 @@
     scene.world.send_request(other, "w", key=ticket)
 
 
-def step_drain_written(scene: Scene) -> None:
+def step_drain_written(scene: Scenario) -> None:
     scene.world.send_request(scene.flow, "s", path="/stream")
     scene.world.settle()
-    change(scene, Action.DRAIN, scene.agent)
+    apply_change(scene, Action.DRAIN, scene.agent)
 
 
-def step_drain_in_force(scene: Scene) -> None:
+def step_drain_in_force(scene: Scenario) -> None:
     step_drain_written(scene)
     scene.world.settle(2.0)
 
 
-def step_drain_ending(scene: Scene) -> None:
+def step_drain_ending(scene: Scenario) -> None:
     ticket = run_request(scene, "r", path="/read").ticket
     run_request(scene, "w", key=ticket)
     scene.world.stop(scene.agent)
     scene.world.settle(0.2)
 
 
-def step_balancer_stopping(scene: Scene) -> None:
+def step_balancer_stopping(scene: Scenario) -> None:
     scene.world.stop("b1")
 
 
-def step_upstream_joining(scene: Scene) -> None:
+def step_upstream_joining(scene: Scenario) -> None:
     set_upstreams(scene, ("d1", "d2"))
     scene.world.settle(2.0)
     set_upstreams(scene, ("d1", "d2", "d3"))
 
 
-def step_apply_written(scene: Scene) -> None:
-    change(scene, Action.ROTATE_KEYS)
+def step_apply_written(scene: Scenario) -> None:
+    apply_change(scene, Action.ROTATE_KEYS)
     scene.world.advance(0.05)
 
 
-def step_apply_half_spread(scene: Scene) -> None:
-    change(scene, Action.ROTATE_KEYS)
+def step_apply_half_spread(scene: Scenario) -> None:
+    apply_change(scene, Action.ROTATE_KEYS)
     for _ in range(6):
         scene.world.advance(0.05)
         for _ in range(min(3, len(scene.world.messages))):
             scene.world.deliver(0)
 
 
-def step_agent_restarted(scene: Scene) -> None:
+def step_agent_restarted(scene: Scenario) -> None:
     scene.world.send_request(scene.flow, "w")
     scene.world.settle()
     agent = scene.agent
@@ -187,123 +187,123 @@
     scene.world.start_agent(agent)
 
 
-def step_join_in_outage(scene: Scene) -> None:
+def step_join_in_outage(scene: Scenario) -> None:
     scene.world.platform_down = True
     scene.world.kill("b3")
     scene.world.start_balancer("b3")
     scene.world.advance(0.05)
 
 
-def fault_none(scene: Scene) -> None:
+def fault_none(scene: Scenario) -> None:
     del scene
 
 
-def fault_kill_balancer(scene: Scene) -> None:
+def fault_kill_balancer(scene: Scenario) -> None:
     scene.world.kill("b1")
     scene.world.settle(1.0)
 
 
-def fault_kill_all_balancers_but_one(scene: Scene) -> None:
+def fault_kill_all_balancers_but_one(scene: Scenario) -> None:
     scene.world.kill("b1")
     scene.world.kill("b2")
     scene.world.settle(1.0)
 
 
-def fault_freeze_balancer(scene: Scene) -> None:
+def fault_freeze_balancer(scene: Scenario) -> None:
     scene.world.freeze("b1")
     scene.world.settle(10.0, step=0.25)
     scene.world.thaw("b1")
 
 
-def fault_kill_agent(scene: Scene) -> None:
+def fault_kill_agent(scene: Scenario) -> None:
     scene.world.kill(scene.agent)
     scene.world.settle(1.0)
 
 
-def fault_freeze_agent(scene: Scene) -> None:
+def fault_freeze_agent(scene: Scenario) -> None:
     scene.world.freeze(scene.agent)
     scene.world.settle(10.0, step=0.25)
     scene.world.thaw(scene.agent)
 
 
-def fault_kill_upstream(scene: Scene) -> None:
+def fault_kill_upstream(scene: Scenario) -> None:
     for run in scene.world.list_running():
         if run.agent == scene.agent:
             scene.world.finish(run, answered=False)
     scene.world.settle(1.0)
 
 
-def fault_freeze_upstream(scene: Scene) -> None:
+def fault_freeze_upstream(scene: Scenario) -> None:
     """Nothing that runs ends before every deadline has passed."""
     scene.world.settle(8.0, step=0.1)
 
 
-def fault_cut_agent(scene: Scene) -> None:
+def fault_cut_agent(scene: Scenario) -> None:
     scene.world.cut.add(scene.agent)
     scene.world.settle(10.0, step=0.25)
 
 
-def fault_cut_balancer(scene: Scene) -> None:
+def fault_cut_balancer(scene: Scenario) -> None:
     scene.world.cut.add("b1")
     scene.world.settle(10.0, step=0.25)
 
 
-def fault_platform_slow(scene: Scene) -> None:
+def fault_platform_slow(scene: Scenario) -> None:
     slow = [m for m in scene.world.messages if isinstance(m, PlatformMessage)]
     scene.world.messages = [m for m in scene.world.messages if m not in slow]
     scene.world.settle(3.0)
     scene.world.messages += slow
 
 
-def fault_platform_down(scene: Scene) -> None:
+def fault_platform_down(scene: Scenario) -> None:
     scene.world.platform_down = True
     scene.world.settle(8.0, step=0.25)
 
 
-def fault_lost_answers(scene: Scene) -> None:
+def fault_lost_answers(scene: Scenario) -> None:
     scene.world.lose_answers = 3
 
 
-def fault_stale_reads(scene: Scene) -> None:
+def fault_stale_reads(scene: Scenario) -> None:
     scene.world.stale_lists = 3
 
 
-def fault_all_lost(scene: Scene) -> None:
+def fault_all_lost(scene: Scenario) -> None:
     while scene.world.messages:
         scene.world.lose(0)
 
 
-def fault_all_doubled(scene: Scene) -> None:
+def fault_all_doubled(scene: Scenario) -> None:
     for index in range(len(scene.world.messages)):
         scene.world.duplicate(index)
 
 
-def fault_reversed(scene: Scene) -> None:
+def fault_reversed(scene: Scenario) -> None:
     scene.world.messages.reverse()
 
 
-def fault_wrong_machine_list(scene: Scene) -> None:
+def fault_wrong_machine_list(scene: Scenario) -> None:
     for name in ("d1", "d2", "d3"):
         scene.world.list_machine(name, leaving=name != scene.agent)
     scene.world.settle(4.0)
 
 
-def fault_lying_load(scene: Scene) -> None:
+def fault_lying_load(scene: Scenario) -> None:
     for upstream in scene.world.upstreams.values():
         upstream.lies_idle = True
 
 
-def fault_clock_jump(scene: Scene) -> None:
+def fault_clock_jump(scene: Scenario) -> None:
     scene.world.advance(300.0)
 
 
-def fault_operators_race(scene: Scene) -> None:
+def fault_operators_race(scene: Scenario) -> None:
     set_upstreams(scene, ("d1", "d2"))
     set_upstreams(scene, ("d2", "d3"))
     set_upstreams(scene, ("d1", "d2", "d3"))
 
 
-def _collect(prefix: str) -> dict[str, Callable[[Scene], None]]:
+def _collect(prefix: str) -> dict[str, Callable[[Scenario], None]]:
     return {
         name.removeprefix(prefix): function
         for name, function in globals().items()
@@ -313,22 +313,22 @@
 
 STEPS = _collect("step_")
 FAULTS = _collect("fault_")
-UNPLANNED = {"agent_restarted"}
+UNPLANNED_STEPS = {"agent_restarted"}
 
 
 @pytest.mark.parametrize("fault", sorted(FAULTS))
 @pytest.mark.parametrize("step", sorted(STEPS))
 def test_promises_hold(step: str, fault: str) -> None:
-    scene = make_scene()
+    scene = make_scenario()
     STEPS[step](scene)
     FAULTS[fault](scene)
     scene.world.heal()
     scene.world.check_end()
 
 
-@pytest.mark.parametrize("step", sorted(set(STEPS) - UNPLANNED))
+@pytest.mark.parametrize("step", sorted(set(STEPS) - UNPLANNED_STEPS))
 def test_no_planned_step_breaks_a_flow(step: str) -> None:
-    scene = make_scene()
+    scene = make_scenario()
     STEPS[step](scene)
     scene.world.retransmit()
     scene.world.settle(20.0, step=0.25)
@@ -338,8 +338,8 @@
 
 
 def test_leaving_upstream_gets_no_new_work() -> None:
-    scene = make_scene()
-    change(scene, Action.DRAIN, scene.agent)
+    scene = make_scenario()
+    apply_change(scene, Action.DRAIN, scene.agent)
     scene.world.settle(3.0)
     configuration = scene.world.nodes["b1"].state.node.configuration
     state = {u.name: u.state for u in configuration.upstreams}[scene.agent]
@@ -355,7 +355,7 @@
 
 
 def test_repeat_after_planned_leave_gets_the_recorded_answer() -> None:
-    scene = make_scene()
+    scene = make_scenario()
     ticket = run_request(scene, "r", path="/read").ticket
     first = run_request(scene, "w", key=ticket)
     leaver = scene.agent
@@ -371,8 +371,8 @@
 
 
 def test_configuration_accepted_before_an_outage_reaches_every_node() -> None:
-    scene = make_scene()
-    change(scene, Action.ROTATE_KEYS)
+    scene = make_scenario()
+    apply_change(scene, Action.ROTATE_KEYS)
     while max(scene.world.accepted) < 2:
         scene.world.advance(0.05)
         while scene.world.messages and max(scene.world.accepted) < 2:
@@ -386,7 +386,7 @@
 
 def test_address_taken_over_by_another_service_serves_no_stray_packet() -> None:
     """The VM of d1 goes; a new agent of intake starts at its address."""
-    scene = make_scene()
+    scene = make_scenario()
     world = scene.world
     stray = world.open_flow("dispatcher")
     while stray.agent != "d1":
--- a/shedsill/tests/test_flows.py
+++ b/shedsill/tests/test_flows.py
@@ -7,7 +7,7 @@
 from attrs import evolve
 
 from shedsill._addresses import Address
-from shedsill.http3._agent_state import AgentState, Leaving, Placed
+from shedsill.http3._agent_state import AgentState, DrainProgress, PlacementDecision
 from shedsill.http3._effects import Deliver, RefuseFlow, Send
 from shedsill.http3._events import ConfigurationOffered, FrameReceived
 from shedsill.http3._frames import ToUpstream
@@ -31,7 +31,7 @@
     return reduce(state, offered)[0]
 
 
-def take(state: AgentState, *, passed: bool) -> list[type]:
+def handle_initial(state: AgentState, *, passed: bool) -> list[type]:
     """Give the agent a first packet; return the classes of its effects."""
     frame = ToUpstream(
         generation=1,
@@ -60,8 +60,8 @@
     passed: bool, leaving: bool, effect: type
 ) -> None:
     """The agent chose upstream 2 for this ID, and upstream 2 may have chosen it."""
-    decisions = immutables.Map({CID: Placed(upstream=2, at=1.9)})
+    decisions = immutables.Map({CID: PlacementDecision(upstream=2, decided_at=1.9)})
     state = evolve(make_agent(), decisions=decisions)
     if leaving:
-        state = evolve(state, leaving=Leaving(since=1.0))
-    assert take(state, passed=passed) == [effect]
+        state = evolve(state, drain=DrainProgress(started_at=1.0))
+    assert handle_initial(state, passed=passed) == [effect]
--- a/shedsill/tests/test_guards.py
+++ b/shedsill/tests/test_guards.py
@@ -22,15 +22,15 @@
     _outcomes,
     _requests,
     _routing,
-    _settling,
+    _request_completion,
 )
 from shedsill.http3._acceptance import Acceptor
 from shedsill.http3._answers import RequestOutcome
 from shedsill.http3._resources import Action
 from shedsill.tests.test_faults import (
-    Scene,
-    change,
-    make_scene,
+    Scenario,
+    apply_change,
+    make_scenario,
     run_request,
 )
 
@@ -44,26 +44,26 @@
     replacement: object
 
 
-def get_ticket(scene: Scene) -> str:
+def get_ticket(scene: Scenario) -> str:
     """Return an unused ticket of the scene's agent."""
     return run_request(scene, "first", path="/read").ticket
 
 
-def open_other_flow(scene: Scene) -> Scene:
+def open_other_flow(scene: Scenario) -> Scenario:
     """Return the same world with another flow to the same service."""
     flow = scene.world.open_flow("dispatcher")
     scene.world.settle(0.3)
-    return Scene(scene.world, flow)
+    return Scenario(scene.world, flow)
 
 
-def repeat_runs_once(scene: Scene) -> None:
+def repeat_runs_once(scene: Scenario) -> None:
     ticket = get_ticket(scene)
     run_request(scene, "w", key=ticket)
     again = run_request(open_other_flow(scene), "w", key=ticket)
     assert again.outcome == RequestOutcome.DONE
 
 
-def unknown_never_runs_again(scene: Scene) -> None:
+def unknown_never_runs_again(scene: Scenario) -> None:
     ticket = get_ticket(scene)
     scene.world.send_request(scene.flow, "w", key=ticket)
     scene.world.settle()
@@ -73,7 +73,7 @@
     assert again.outcome == RequestOutcome.UNKNOWN
 
 
-def refused_ticket_stays_refused(scene: Scene) -> None:
+def refused_ticket_stays_refused(scene: Scenario) -> None:
     ticket = get_ticket(scene)
     slow = [scene.world.send_request(scene.flow, f"slow{i}") for i in range(20)]
     scene.world.settle()
@@ -87,7 +87,7 @@
     run_request(scene, "w", key=ticket)
 
 
-def restart_never_overloads(scene: Scene) -> None:
+def restart_never_overloads(scene: Scenario) -> None:
     scene.world.cancel_delay = 1.5
     for index in range(2):
         scene.world.send_request(scene.flow, f"w{index}")
@@ -104,16 +104,16 @@
     scene.world.settle(0.3)
 
 
-def expired_request_frees_its_slot_late(scene: Scene) -> None:
+def expired_request_frees_its_slot_late(scene: Scenario) -> None:
     for index in range(4):
         scene.world.send_request(scene.flow, f"w{index}")
         scene.world.settle(1.0)
     scene.world.settle(6.0)
 
 
-def generation_never_goes_back(scene: Scene) -> None:
+def generation_never_goes_back(scene: Scenario) -> None:
     old = scene.world.nodes["b1"].state.node.configuration
-    change(scene, Action.ROTATE_KEYS)
+    apply_change(scene, Action.ROTATE_KEYS)
     scene.world.settle(4.0)
     for process in scene.world.nodes.values():
         process.state = _offer(process.state, old)
@@ -126,7 +126,7 @@
     return evolve(state, node=node)
 
 
-def one_generation_one_configuration(scene: Scene) -> None:
+def one_generation_one_configuration(scene: Scenario) -> None:
     """Two balancers that both believe that they hold the lease accept at once."""
     world = scene.world
     for name in ("b1", "b2"):
@@ -134,18 +134,18 @@
         lease = evolve(process.state.acceptor.lease, held_until=world.now + 60.0)
         acceptor = Acceptor(lease=lease)
         process.state = evolve(process.state, acceptor=acceptor)
-    change(scene, Action.DRAIN, "d1")
+    apply_change(scene, Action.DRAIN, "d1")
     world.advance(0.05)
     while world.messages and "accept" not in {
         getattr(getattr(m, "purpose", None), "value", "") for m in world.messages
     }:
         world.deliver(0)
-    change(scene, Action.ROTATE_KEYS)
+    apply_change(scene, Action.ROTATE_KEYS)
     world.settle(5.0)
     world.check_end()
 
 
-def leaver_hands_its_record_on(scene: Scene) -> None:
+def leaver_hands_its_record_on(scene: Scenario) -> None:
     ticket = get_ticket(scene)
     first = run_request(scene, "w", key=ticket)
     scene.world.close_flow(scene.flow)
@@ -155,14 +155,14 @@
     assert again.body == first.body
 
 
-def leaver_takes_no_new_work(scene: Scene) -> None:
-    change(scene, Action.DRAIN, scene.agent)
+def leaver_takes_no_new_work(scene: Scenario) -> None:
+    apply_change(scene, Action.DRAIN, scene.agent)
     scene.world.settle(3.0)
     late = run_request(scene, "late")
     assert late.outcome == RequestOutcome.NOT_RUN
 
 
-def silent_stream_finds_another_balancer(scene: Scene) -> None:
+def silent_stream_finds_another_balancer(scene: Scenario) -> None:
     """The caller only listens; its answers went through a balancer that died."""
     world = scene.world
     attempt = world.send_request(scene.flow, "w")
@@ -178,8 +178,8 @@
     assert attempt.outcome == RequestOutcome.DONE
 
 
-def outage_does_not_stop_the_spread(scene: Scene) -> None:
-    change(scene, Action.ROTATE_KEYS)
+def outage_does_not_stop_the_spread(scene: Scenario) -> None:
+    apply_change(scene, Action.ROTATE_KEYS)
     world = scene.world
     while max(world.accepted) < 2:
         world.advance(0.05)
@@ -191,7 +191,7 @@
     assert generations == {2}
 
 
-def dead_candidate_is_passed_over(scene: Scene) -> None:
+def dead_candidate_is_passed_over(scene: Scenario) -> None:
     world = scene.world
     world.kill("d1")
     flows = [world.open_flow("dispatcher") for _ in range(12)]
@@ -202,7 +202,7 @@
     assert all(flow.cid for flow in flows)
 
 
-def empty_platform_drains_nothing(scene: Scene) -> None:
+def empty_platform_drains_nothing(scene: Scenario) -> None:
     world = scene.world
     world.platform.objects.clear()
     world.platform.revision += 1
@@ -211,7 +211,7 @@
     assert {u.state.value for u in configuration.upstreams} == {"active"}
 
 
-def new_incarnation_refuses_old_ids(scene: Scene) -> None:
+def new_incarnation_refuses_old_ids(scene: Scenario) -> None:
     """A restarted agent must not take packets of its predecessor's flows."""
     agent = scene.agent
     scene.world.kill(agent)
@@ -221,7 +221,7 @@
     scene.world.send_request(scene.flow, "old")
     scene.world.settle(0.2)
     assert not process.exchanges
-    assert process.state.flows == 0
+    assert process.state.flow_count == 0
 
 
 def _put_always(self: MemoryPlatform, call: Put):
@@ -240,40 +240,40 @@
     return None
 
 
-def _forget_origin(state, request):
-    if request.origin is None:
+def _forget_issuer(state, request):
+    if request.issuer is None:
         return state
-    origins = state.ledger.origins.set(request.origin, _outcomes.Origin())
-    return evolve(state, ledger=evolve(state.ledger, origins=origins))
+    issuers = state.outcomes.issuers.set(request.issuer, _outcomes.IssuerRecords())
+    return evolve(state, outcomes=evolve(state.outcomes, issuers=issuers))
 
 
 def _keep_state(state, *_arguments, **_options):
     return state, []
 
 
-def _settle_nothing(ledger, now):
-    del ledger, now
+def _settle_nothing(outcomes, now):
+    del outcomes, now
     return ()
 
 
-CASES: dict[str, tuple[Guard, Callable[[Scene], None]]] = {
+CASES: dict[str, tuple[Guard, Callable[[Scenario], None]]] = {
     "record of outcomes": (
         Guard(_requests, "find_record", _forget_record),
         repeat_runs_once,
     ),
     "unknown is final": (
         Guard(
-            _settling,
+            _request_completion,
             "record_unknown",
-            _forget_origin,
+            _forget_issuer,
         ),
         unknown_never_runs_again,
     ),
     "refusal is final": (
         Guard(
-            _settling,
+            _request_completion,
             "record_refusal",
-            _forget_origin,
+            _forget_issuer,
         ),
         refused_ticket_stays_refused,
     ),
@@ -308,7 +308,7 @@
         leaver_takes_no_new_work,
     ),
     "reply path moves": (
-        Guard(_agent, "move_reply_paths", _keep_state),
+        Guard(_agent, "replace_silent_reply_paths", _keep_state),
         silent_stream_finds_another_balancer,
     ),
     "generation rides on frames": (
@@ -336,7 +336,7 @@
 @pytest.mark.parametrize("name", sorted(CASES))
 def test_promise_holds_with_the_guard(name: str) -> None:
     _guard, scenario = CASES[name]
-    scenario(make_scene())
+    scenario(make_scenario())
 
 
 @pytest.mark.parametrize("name", sorted(CASES))
@@ -344,11 +344,11 @@
     name: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     guard, scenario = CASES[name]
-    scene = make_scene()
+    scene = make_scenario()
     monkeypatch.setattr(guard.owner, guard.name, guard.replacement)
     with pytest.raises(AssertionError):
         scenario(scene)
 
 
 def test_empty_platform_drains_nothing() -> None:
-    empty_platform_drains_nothing(make_scene())
+    empty_platform_drains_nothing(make_scenario())
--- a/shedsill/tests/test_process_faults.py
+++ b/shedsill/tests/test_process_faults.py
@@ -19,8 +19,8 @@
 
 SERVICE = "dispatcher"
 STREAM = "/stream?interval=0.05"
-MORE = 60
-GARBAGE = 200
+MORE_BYTES = 60
+GARBAGE_COUNT = 200
 
 
 @pytest.fixture
@@ -36,10 +36,10 @@
         yield cluster
 
 
-async def expect_more(streams: list[Response]) -> None:
+async def expect_progress(streams: list[Response]) -> None:
     """Demand that each stream goes on from where it is."""
     for stream in streams:
-        await wait_for_body(stream, len(stream.body) + MORE)
+        await wait_for_body(stream, len(stream.body) + MORE_BYTES)
         assert not stream.cut
 
 
@@ -85,19 +85,19 @@
         front = cluster.fronts[SERVICE]
         async with open_client(front) as one, open_client(front) as two:
             streams = open_streams(one, 2) + open_streams(two, 2)
-            await expect_more(streams)
+            await expect_progress(streams)
             drained = name_upstream(streams[0])
             await asyncio.to_thread(cluster.run_command, "drain", "--no-wait", drained)
             for name in cluster.balancers:
                 await replace(name)
                 rotate = ("rotate-keys", "--timeout", "20")
                 await asyncio.to_thread(cluster.run_command, *rotate)
-                await expect_more(streams)
+                await expect_progress(streams)
             await asyncio.to_thread(cluster.run_command, "undrain", drained)
-            await expect_more(streams)
+            await expect_progress(streams)
             for leaving in (True, False):
                 await asyncio.to_thread(apply_upstreams, cluster, drained, leaving)
-                await expect_more(streams)
+                await expect_progress(streams)
         async with open_client(front) as client:
             claim = await client.request("POST", "/claim", body=b"after")
             assert claim.status == 200
@@ -112,15 +112,15 @@
     async def use() -> None:
         async with open_client(cluster.fronts[SERVICE]) as client:
             streams = open_streams(client, 2)
-            await expect_more(streams)
+            await expect_progress(streams)
             cluster.processes["balancer-1"].send(blow)
-            await expect_more(streams)
+            await expect_progress(streams)
             await withdraw(cluster, "balancer-1")
             await asyncio.sleep(2.5)
-            await expect_more(streams)
+            await expect_progress(streams)
             cluster.processes["balancer-1"].send(signal.SIGCONT)
             await withdraw(cluster)
-            await expect_more(streams)
+            await expect_progress(streams)
             claim = await client.request("POST", "/claim", body=b"x")
             assert claim.outcome == "done"
 
@@ -242,7 +242,7 @@
     async def use() -> None:
         async with open_client(cluster.fronts[SERVICE]) as client:
             (stream,) = open_streams(client, 1)
-            await expect_more([stream])
+            await expect_progress([stream])
             name = name_upstream(stream)
             cluster.processes[f"upstream-{name}"].send(signal.SIGKILL)
             async with asyncio.timeout(10):
@@ -316,16 +316,16 @@
         sender = socket.socket(type=socket.SOCK_DGRAM)
         balancer = cluster.balancers["balancer-1"]
         agent = cluster.agents["dispatcher-1"]
-        for size in range(GARBAGE):
+        for size in range(GARBAGE_COUNT):
             data = os.urandom(size * 7)
             for target in ((balancer.host, port), balancer.pair, agent.pair):
                 sender.sendto(data, target)
         sender.close()
         await asyncio.sleep(0.5)
         drops = [await read_metrics("balancer-1", n) for n in (300, 301)]
-        assert sum(drops) > GARBAGE * 0.9
-        assert await read_metrics("balancer-1", 303) > GARBAGE * 0.9
-        assert await read_metrics("dispatcher-1", 303) > GARBAGE * 0.9
+        assert sum(drops) > GARBAGE_COUNT * 0.9
+        assert await read_metrics("balancer-1", 303) > GARBAGE_COUNT * 0.9
+        assert await read_metrics("dispatcher-1", 303) > GARBAGE_COUNT * 0.9
         async with open_client(cluster.fronts[SERVICE]) as client:
             claim = await client.request("POST", "/claim", body=b"x")
             assert claim.outcome == "done"
--- a/shedsill/tests/test_quic.py
+++ b/shedsill/tests/test_quic.py
@@ -18,12 +18,12 @@
 from shedsill.http3._packets import PacketKind, read_packet
 from shedsill.http3._runtime.certificates import CertificateLoader, parse_certificate
 from shedsill.http3._runtime.quic import (
-    MAX_UDP_PAYLOAD,
-    STREAM_WINDOW,
-    Minter,
+    MAX_UDP_PAYLOAD_BYTES,
+    STREAM_WINDOW_BYTES,
+    ConnectionIdGenerator,
     RoutedConnection,
     make_quic_configuration,
-    make_refusal,
+    make_refusal_packet,
     make_stateless_reset,
 )
 from shedsill.testing.certificates import make_certificate
@@ -34,7 +34,7 @@
 SERVER = ("127.0.0.1", 443)
 
 
-def mint() -> bytes:
+def generate_id() -> bytes:
     return KEYS.mint(ROUTE, epoch=1, nonce=os.urandom(6))
 
 
@@ -55,15 +55,15 @@
     configuration.certificate = loaded.certificate
     configuration.private_key = loaded.private_key
     server = RoutedConnection(
-        minter=Minter(mint=mint, make_reset_token=KEYS.make_reset_token),
+        id_generator=ConnectionIdGenerator(generate=generate_id, make_reset_token=KEYS.make_reset_token),
         configuration=configuration,
         original_destination_connection_id=client.original_destination_connection_id,
     )
-    exchange(client, server)
+    exchange_datagrams(client, server)
     return client, server
 
 
-def exchange(client: QuicConnection, server: RoutedConnection) -> None:
+def exchange_datagrams(client: QuicConnection, server: RoutedConnection) -> None:
     for _ in range(6):
         for data, _address in client.datagrams_to_send(now=0.1):
             server.receive_datagram(data, CALLER, now=0.1)
@@ -82,7 +82,7 @@
         assert entry.stateless_reset_token == KEYS.make_reset_token(entry.cid)
 
 
-def pump(client: QuicConnection, server: RoutedConnection, start: float) -> int:
+def run_connection(client: QuicConnection, server: RoutedConnection, start: float) -> int:
     """Let both sides talk for a while; return the octets that the server got."""
     received = 0
     for step in range(1_500):
@@ -98,23 +98,23 @@
                 other.receive_datagram(data, address, now=now)
         while (event := server.next_event()) is not None:
             received += len(getattr(event, "data", b""))
-            for stream_id in server.unread:
-                server.unread[stream_id] = received
+            for stream_id in server.unread_bytes:
+                server.unread_bytes[stream_id] = received
     return received
 
 
 def test_stream_window_follows_the_reader() -> None:
     client, server = connect()
     stream_id = client.get_next_available_stream_id()
-    client.send_stream_data(stream_id, bytes(4 * STREAM_WINDOW))
-    server.unread[stream_id] = 0
-    held = pump(client, server, 0.2)
-    assert STREAM_WINDOW // 2 < held <= STREAM_WINDOW
-    server.unread.clear()
-    server.unread[stream_id] = 0
+    client.send_stream_data(stream_id, bytes(4 * STREAM_WINDOW_BYTES))
+    server.unread_bytes[stream_id] = 0
+    held = run_connection(client, server, 0.2)
+    assert STREAM_WINDOW_BYTES // 2 < held <= STREAM_WINDOW_BYTES
+    server.unread_bytes.clear()
+    server.unread_bytes[stream_id] = 0
     server.send_ping(1)
-    more = pump(client, server, 10.0)
-    assert STREAM_WINDOW // 2 < more <= STREAM_WINDOW
+    more = run_connection(client, server, 10.0)
+    assert STREAM_WINDOW_BYTES // 2 < more <= STREAM_WINDOW_BYTES
 
 
 def test_refusal_ends_a_connection_attempt() -> None:
@@ -123,32 +123,32 @@
     packet = read_packet(datagram)
     assert packet is not None
     assert packet.kind == PacketKind.INITIAL
-    client.receive_datagram(make_refusal(datagram), SERVER, now=0.1)
+    client.receive_datagram(make_refusal_packet(datagram), SERVER, now=0.1)
     assert client._close_event is not None
 
 
 def test_stateless_reset_is_short_and_smaller_than_its_cause() -> None:
     token = bytes(range(16))
     for size in (22, 40, 1200):
-        packet = make_stateless_reset(token, size=size, noise=os.urandom)
+        packet = make_stateless_reset(token, size=size, random_bytes=os.urandom)
         assert packet is not None
         assert len(packet) < size
         assert packet.endswith(token)
         assert packet[0] & 0xC0 == 0x40
-    assert make_stateless_reset(token, size=21, noise=os.urandom) is None
+    assert make_stateless_reset(token, size=21, random_bytes=os.urandom) is None
 
 
 def test_largest_datagram_is_announced_and_fits_into_a_frame() -> None:
     _client, server = connect()
     buffer = Buffer(data=server._serialize_transport_parameters())
     parameters = pull_quic_transport_parameters(buffer)
-    assert parameters.max_udp_payload_size == MAX_UDP_PAYLOAD
+    assert parameters.max_udp_payload_size == MAX_UDP_PAYLOAD_BYTES
     frame = ToUpstream(
         generation=1,
         service=1,
         upstream=1,
         caller=Address("255.255.255.255", 65_535),
-        datagram=bytes(MAX_UDP_PAYLOAD),
+        datagram=bytes(MAX_UDP_PAYLOAD_BYTES),
     )
     assert len(encode_frame(KEYS, frame)) <= 1500 - 28
 
