--- a/benchmarks/agents.py
+++ b/benchmarks/agents.py
@@ -61,7 +61,10 @@
         on_unknown_flow=lambda _caller, _datagram, _balancer: None,
         on_failed=lambda _flow, _error: None,
     )
-    table = FlowTable(ConnectionIdGenerator(generate=mint, make_reset_token=KEYS.make_reset_token), callbacks)
+    table = FlowTable(
+        ConnectionIdGenerator(generate=mint, make_reset_token=KEYS.make_reset_token),
+        callbacks,
+    )
     pair = make_certificate()
     loaded = parse_certificate(pair.certificate, pair.private_key)
     table.configuration = make_quic_configuration()
@@ -87,7 +90,10 @@
         for _ in range(3):
             for data, _address in client.datagrams_to_send(now=loop.time()):
                 deliver = Deliver(
-                    caller=caller, datagram=data, reply_to=BALANCER, can_open_connection=True
+                    caller=caller,
+                    datagram=data,
+                    reply_to=BALANCER,
+                    can_open_connection=True,
                 )
                 with meter.measure():
                     table.deliver(deliver)
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -19,15 +19,15 @@
     REPORTS_PER_HEARTBEAT,
     merge_reports,
 )
-from shedsill.http3._configuration_rules import AcceptanceInputs, accept_resources
 from shedsill.http3._configuration import (
     Configuration,
     decode_configuration,
     encode_configuration,
 )
+from shedsill.http3._configuration_rules import AcceptanceInputs, accept_resources
 from shedsill.http3._events import Tick
 from shedsill.http3._frames import Load, NodeReport, encode_frame
-from shedsill.http3._node import HeartbeatPayload, make_probe_answer, make_heartbeat
+from shedsill.http3._node import HeartbeatPayload, make_heartbeat, make_probe_answer
 from shedsill.http3._reducer import reduce
 from shedsill.http3._resources import Service, Upstream, UpstreamSet
 
@@ -105,7 +105,9 @@
         configuration = accept_resources(Configuration(), inputs).configuration
         value = encode_configuration(configuration)
         octets.append(len(json.dumps(value)))
-        accepting.append(_time(lambda i=inputs, c=configuration: accept_resources(c, i)) * 1e6)
+        accepting.append(
+            _time(lambda i=inputs, c=configuration: accept_resources(c, i)) * 1e6
+        )
         decoding.append(_time(lambda v=value: decode_configuration(v)) * 1e6)
         tracemalloc.start()
         kept = decode_configuration(value)
@@ -124,9 +126,13 @@
     """Time one beat of a balancer against upstreams, then against members."""
     by_upstream = []
     for size in SIZES:
-        configuration = accept_resources(Configuration(), make_inputs(size)).configuration
+        configuration = accept_resources(
+            Configuration(), make_inputs(size)
+        ).configuration
         by_upstream.append(_time_beat(make_state(configuration)) * 1e6)
-    configuration = accept_resources(Configuration(), make_inputs(PER_SERVICE)).configuration
+    configuration = accept_resources(
+        Configuration(), make_inputs(PER_SERVICE)
+    ).configuration
     by_member = []
     for size in SIZES:
         state = make_state(configuration)
@@ -145,7 +151,9 @@
 
 
 def _measure_heartbeat() -> list[Result]:
-    configuration = accept_resources(Configuration(), make_inputs(PER_SERVICE)).configuration
+    configuration = accept_resources(
+        Configuration(), make_inputs(PER_SERVICE)
+    ).configuration
     state = make_state(configuration)
     reports = [make_report(index) for index in range(REPORTS_PER_HEARTBEAT)]
     membership = merge_reports(state.node.membership, reports, 1.0)
--- a/benchmarks/datapath.py
+++ b/benchmarks/datapath.py
@@ -17,9 +17,9 @@
 from shedsill.coordination.lease import Lease
 from shedsill.coordination.platform import Call, Outcome, Unavailable
 from shedsill.http3._acceptor import Acceptor
-from shedsill.http3._configuration_rules import AcceptanceInputs, accept_resources
 from shedsill.http3._balancer import BalancerState
 from shedsill.http3._configuration import Configuration
+from shedsill.http3._configuration_rules import AcceptanceInputs, accept_resources
 from shedsill.http3._events import CallerDatagram, ConfigurationOffered
 from shedsill.http3._frames import Load, ToCaller, encode_frame
 from shedsill.http3._keys import KeyRing, Route
@@ -38,7 +38,8 @@
 REDUCER_EVENTS = 20_000
 FLOWS = 100_000
 UNLIMITED = FlowLimits(
-    per_caller=Rate(per_second=1e9, burst=1e9), per_service=Rate(per_second=1e9, burst=1e9)
+    per_caller=Rate(per_second=1e9, burst=1e9),
+    per_service=Rate(per_second=1e9, burst=1e9),
 )
 
 
--- a/benchmarks/ledger.py
+++ b/benchmarks/ledger.py
@@ -27,8 +27,8 @@
     Backlog,
     Forecast,
     QueuedRequest,
-    choose_next_request,
     add_request,
+    choose_next_request,
 )
 from shedsill.datagram._packet import SYN_COPY_DELAYS_SECONDS
 
--- a/benchmarks/opaque.py
+++ b/benchmarks/opaque.py
@@ -14,6 +14,7 @@
     MessageReceived,
     TableReceived,
 )
+from shedsill.datagram._failure_detection import merge_report
 from shedsill.datagram._forwarding_table import ForwardingTable, Route, ServiceShare
 from shedsill.datagram._messages import (
     FlowTaken,
@@ -22,7 +23,6 @@
     Role,
     UpstreamState,
 )
-from shedsill.datagram._failure_detection import merge_report
 from shedsill.datagram._reducer import reduce
 from shedsill.datagram._selection import hash_service
 from shedsill.platform.packets import HeaderCodec
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -16,11 +16,11 @@
 from benchmarks.placement import make_agent, make_steady
 from benchmarks.results import Result
 from shedsill._addresses import Address
-from shedsill.http3._configuration_rules import AcceptanceInputs, accept_resources
 from shedsill.http3._agent_state import AgentState
 from shedsill.http3._answers import RecordedAnswer
 from shedsill.http3._configuration import Configuration
-from shedsill.http3._effects import SendAnswer, RefuseRequest, SendUpstreamRequest
+from shedsill.http3._configuration_rules import AcceptanceInputs, accept_resources
+from shedsill.http3._effects import RefuseRequest, SendAnswer, SendUpstreamRequest
 from shedsill.http3._events import (
     ConfigurationOffered,
     RequestArrived,
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -18,11 +18,11 @@
 from benchmarks.results import Result
 from shedsill._addresses import Address
 from shedsill._limits import Rate
-from shedsill.http3._configuration_rules import AcceptanceInputs, accept_resources
 from shedsill.http3._admission import Admission, record_failure
 from shedsill.http3._agent_state import AgentSettings, AgentState, get_load
 from shedsill.http3._balancer import BalancerState
 from shedsill.http3._configuration import Configuration, UpstreamState
+from shedsill.http3._configuration_rules import AcceptanceInputs, accept_resources
 from shedsill.http3._effects import Deliver, RefuseFlow, Send
 from shedsill.http3._events import (
     CallerDatagram,
@@ -65,7 +65,9 @@
 }
 
 
-def make_service(upstreams: int, *, limit: int = 2_000, slots: int = 3) -> AcceptanceInputs:
+def make_service(
+    upstreams: int, *, limit: int = 2_000, slots: int = 3
+) -> AcceptanceInputs:
     """Return the resources of one service."""
     service = Service(name="s", address="10.0.0.1:443", connections=limit, slots=slots)
     members = tuple(
--- a/shedsill/_cli/operator.py
+++ b/shedsill/_cli/operator.py
@@ -215,7 +215,9 @@
 def _check_kind(kind: str) -> str:
     kind = kind.lower().rstrip("s")
     if kind not in (*RESOURCE_KINDS, NODE_KIND, STATUS_KIND, CONFIGURATION_KIND):
-        allowed = ", ".join((*RESOURCE_KINDS, NODE_KIND, STATUS_KIND, CONFIGURATION_KIND))
+        allowed = ", ".join(
+            (*RESOURCE_KINDS, NODE_KIND, STATUS_KIND, CONFIGURATION_KIND)
+        )
         raise DocumentError("kind", kind, f"one of {allowed}")
     return kind
 
--- a/shedsill/_cli/writes.py
+++ b/shedsill/_cli/writes.py
@@ -98,7 +98,10 @@
         read = await client.call(Get(kind=kind, name=name))
         if not isinstance(read, Found):
             continue
-        if read.object is not None and read.object.value.get(CHANGE_ID_KEY) == change_id:
+        if (
+            read.object is not None
+            and read.object.value.get(CHANGE_ID_KEY) == change_id
+        ):
             return Written(version=read.object.version)
         return Unwritten(reason="the write has not taken effect")
     return Unwritten(reason="the platform does not answer; the write is unknown")
--- a/shedsill/coordination/lease.py
+++ b/shedsill/coordination/lease.py
@@ -80,11 +80,15 @@
     if now < lease.next_call_at:
         return lease, None
     pause = lease.time_to_live / RENEWALS_PER_TERM
-    return evolve(lease, called_at=now, next_call_at=now + pause), _build_call(lease, now)
+    return evolve(lease, called_at=now, next_call_at=now + pause), _build_call(
+        lease, now
+    )
 
 
 def _build_call(lease: Lease, now: float) -> Call:
-    lapsed = lease.observed_at is not None and now - lease.observed_at >= lease.time_to_live
+    lapsed = (
+        lease.observed_at is not None and now - lease.observed_at >= lease.time_to_live
+    )
     if lease.version_known and (lapsed or lease.holder in ("", lease.node)):
         return Put(
             kind=lease.kind,
--- a/shedsill/coordination/membership.py
+++ b/shedsill/coordination/membership.py
@@ -115,7 +115,11 @@
 
 def list_live_members(membership: Membership, now: float) -> tuple[Member, ...]:
     """Return the members heard of lately, by name."""
-    found = [m for m in membership.members.values() if now - m.last_heard_at < SILENT_AFTER_SECONDS]
+    found = [
+        m
+        for m in membership.members.values()
+        if now - m.last_heard_at < SILENT_AFTER_SECONDS
+    ]
     return tuple(sorted(found, key=lambda m: m.report.name))
 
 
@@ -123,7 +127,11 @@
     membership: Membership, own: NodeReport, now: float, seed: int
 ) -> tuple[NodeReport, ...]:
     """Choose the reports that one heartbeat carries, the node's own first."""
-    live = [m.report for m in list_live_members(membership, now) if m.report.name != own.name]
+    live = [
+        m.report
+        for m in list_live_members(membership, now)
+        if m.report.name != own.name
+    ]
     wanted = min(len(live), REPORTS_PER_HEARTBEAT - 1)
     return (own, *random.Random(seed).sample(live, wanted))
 
--- a/shedsill/coordination/propagation.py
+++ b/shedsill/coordination/propagation.py
@@ -52,7 +52,9 @@
     """
     if generation <= propagation.generation or now < propagation.pulling_until:
         return propagation, None
-    return evolve(propagation, pulling_until=now + PULL_TIMEOUT_SECONDS), Pull(peer=peer)
+    return evolve(propagation, pulling_until=now + PULL_TIMEOUT_SECONDS), Pull(
+        peer=peer
+    )
 
 
 def record_applied(propagation: Propagation, generation: int) -> Propagation:
--- a/shedsill/coordination/update.py
+++ b/shedsill/coordination/update.py
@@ -78,7 +78,10 @@
             return Stored(version=current.version)
         value = current.value if current else {}
         wanted = {**change(dict(value)), CHANGE_ID_KEY: change_id}
-        if _remove_change_id(wanted) == _remove_change_id(value) and current is not None:
+        if (
+            _remove_change_id(wanted) == _remove_change_id(value)
+            and current is not None
+        ):
             return Unchanged(version=current.version)
         version = current.version if current else 0
         outcome = await platform.call(
@@ -89,7 +92,9 @@
                 return outcome
             case Unavailable(perhaps_applied=perhaps):
                 uncertain = uncertain or perhaps
-            case Conflict(current=found) if uncertain and _has_change_id(found, change_id):
+            case Conflict(current=found) if uncertain and _has_change_id(
+                found, change_id
+            ):
                 return Stored(version=found.version)
     return outcome
 
--- a/shedsill/datagram/_agent.py
+++ b/shedsill/datagram/_agent.py
@@ -120,7 +120,9 @@
     Times are moved on by the pause, but not beyond now: some may be of packets that
     were read since.
     """
-    state.heartbeat_silence_started_at = min(state.heartbeat_silence_started_at + pause, now)
+    state.heartbeat_silence_started_at = min(
+        state.heartbeat_silence_started_at + pause, now
+    )
     if state.unanswered_since is not None:
         state.unanswered_since = min(state.unanswered_since + pause, now)
     for flow in state.flows.values():
--- a/shedsill/datagram/_agent_packets.py
+++ b/shedsill/datagram/_agent_packets.py
@@ -10,10 +10,10 @@
     AgentState,
     Phase,
     build_load,
+    can_accept_flows,
     record_sent_packet,
     return_packet,
     update_upstream_state,
-    can_accept_flows,
 )
 from shedsill.datagram._effects import (
     Effect,
@@ -35,8 +35,8 @@
     RST,
     SYN,
     Packet,
-    is_ack_in_window,
     get_syn_copy_delay,
+    is_ack_in_window,
     is_syn,
 )
 from shedsill.datagram._selection import REFUSAL_BACKOFF_SECONDS, hash_service
@@ -168,7 +168,9 @@
         state.trial_flows.pop(packet.flow, None)
         return effects
     if flow is None:
-        flow = AgentFlow(phase=Phase.OPEN, last_packet_at=now, balancer="", taken_at=now)
+        flow = AgentFlow(
+            phase=Phase.OPEN, last_packet_at=now, balancer="", taken_at=now
+        )
         state.flows[packet.flow] = flow
         flow.caller_next_seq = packet.ack
         effects += _report_found(state, packet.flow, now)
--- a/shedsill/datagram/_agent_state.py
+++ b/shedsill/datagram/_agent_state.py
@@ -241,7 +241,9 @@
     ]
 
 
-def update_upstream_state(state: AgentState, upstream: UpstreamState, now: float) -> list[Effect]:
+def update_upstream_state(
+    state: AgentState, upstream: UpstreamState, now: float
+) -> list[Effect]:
     """Note that the upstream takes new flows or no longer does."""
     if state.report.state == upstream:
         return []
@@ -275,14 +277,21 @@
     """Tell the balancers, but not the store, how the upstream is now."""
     report = replace(state.report, load=build_load(state, now))
     announcement = Announcement(report=report)
-    return [SendMessage(host, announcement) for host in list_active_balancers(state, now)]
+    return [
+        SendMessage(host, announcement) for host in list_active_balancers(state, now)
+    ]
 
 
 def repeat_announcement(state: AgentState, now: float) -> list[Effect]:
     """Tell again of this agent while no balancer has shown that it knows it."""
-    if state.first_announced_at is None or state.announcement_repeats >= len(ANNOUNCEMENT_REPEATS_SECONDS):
+    if state.first_announced_at is None or state.announcement_repeats >= len(
+        ANNOUNCEMENT_REPEATS_SECONDS
+    ):
         return []
-    if now - state.first_announced_at < ANNOUNCEMENT_REPEATS_SECONDS[state.announcement_repeats]:
+    if (
+        now - state.first_announced_at
+        < ANNOUNCEMENT_REPEATS_SECONDS[state.announcement_repeats]
+    ):
         return []
     state.announcement_repeats += 1
     if any(at > state.first_announced_at for at in state.balancers.values()):
@@ -293,5 +302,7 @@
 
 def list_active_balancers(state: AgentState, now: float) -> list[str]:
     """Return the balancers that get news directly."""
-    recent = [h for h, at in state.balancers.items() if now - at < RECENT_BALANCER_SECONDS]
+    recent = [
+        h for h, at in state.balancers.items() if now - at < RECENT_BALANCER_SECONDS
+    ]
     return sorted({*recent, *state.seeds})
--- a/shedsill/datagram/_backlog.py
+++ b/shedsill/datagram/_backlog.py
@@ -72,8 +72,8 @@
     def estimate_deadline(self, answered_at: float) -> float:
         """Return when its caller is likely to give up.
 
-        A caller that may have tried before may give up `EARLIER_ATTEMPT_SECONDS` sooner; one that
-        is still there by then had not tried before.
+        A caller that may have tried before may give up `EARLIER_ATTEMPT_SECONDS`
+        sooner; one that is still there by then had not tried before.
 
         Parameters
         ----------
@@ -81,7 +81,11 @@
             When it would be answered if it were started now.
         """
         earlier = self.deadline_at - EARLIER_ATTEMPT_SECONDS
-        return earlier if self.may_be_retry and answered_at <= earlier else self.deadline_at
+        return (
+            earlier
+            if self.may_be_retry and answered_at <= earlier
+            else self.deadline_at
+        )
 
 
 class Backlog(Struct):
@@ -158,7 +162,9 @@
         margin : float
             By how much longer than the mean it may take.
         """
-        service = self.cold_service_time if start < self.cold_until else self.service_time
+        service = (
+            self.cold_service_time if start < self.cold_until else self.service_time
+        )
         return start + service * margin
 
 
@@ -188,7 +194,8 @@
 def _may_be_repeated(backlog: Backlog, asked: float) -> bool:
     """Whether a caller that asked then may have tried before.
 
-    One whose last copy was still lost tries again `EARLIER_ATTEMPT_SECONDS` after the first.
+    One whose last copy was still lost tries again `EARLIER_ATTEMPT_SECONDS` after the
+    first.
     """
     lost_at = backlog.syn_lost_at
     if lost_at is None:
@@ -280,7 +287,10 @@
         return False
     for position, request in enumerate(savable, start=1):
         start = forecast.estimate_start(position)
-        if forecast.estimate_end(start, margin=LATE_SERVICE_TIME_FACTOR) > request.deadline_at:
+        if (
+            forecast.estimate_end(start, margin=LATE_SERVICE_TIME_FACTOR)
+            > request.deadline_at
+        ):
             return True
     return False
 
--- a/shedsill/datagram/_balancer.py
+++ b/shedsill/datagram/_balancer.py
@@ -10,7 +10,13 @@
 
 from shedsill._catalogue import LogEvent
 from shedsill._common_effects import Exit, WriteLog
-from shedsill.datagram import _checkpoint_collection, _flow_search, _failure_detection, _flow_placement, _membership
+from shedsill.datagram import (
+    _checkpoint_collection,
+    _failure_detection,
+    _flow_placement,
+    _flow_search,
+    _membership,
+)
 from shedsill.datagram._balancer_state import BalancerState, forward_packet
 from shedsill.datagram._effects import (
     Effect,
@@ -86,7 +92,9 @@
     if is_syn(packet):
         if flow is None or flow.restored:
             return _flow_placement.place_flow(state, packet, route, event.now)
-        return _flow_placement.handle_repeated_syn(state, flow, packet, route, event.now)
+        return _flow_placement.handle_repeated_syn(
+            state, flow, packet, route, event.now
+        )
     if flow is None:
         return _flow_search.search_flow(state, packet, event.now)
     flow.last_packet_at = event.now
@@ -145,7 +153,9 @@
         case Announcement(report=report):
             return _membership.handle_direct_report(state, report, now)
         case Probe(report=report):
-            effects = _membership.handle_direct_report(state, report, now) if report else []
+            effects = (
+                _membership.handle_direct_report(state, report, now) if report else []
+            )
             return [*effects, *_answer_probe(state, source)]
         case Roster(reports=reports, last=last):
             effects = _membership.handle_indirect_reports(state, reports, now)
@@ -165,7 +175,9 @@
             _record_load(state, source, message, now)
             return _handle_flow_denied(state, message, source, now)
         case CheckpointPart():
-            return _checkpoint_collection.handle_checkpoint_part(state, message, source, now)
+            return _checkpoint_collection.handle_checkpoint_part(
+                state, message, source, now
+            )
         case CheckpointTaken():
             return _checkpoint_collection.handle_checkpoint_taken(state, source)
     return []
@@ -209,7 +221,10 @@
     }
     note = WriteLog(event=LogEvent.PACKET_RETURNED, fields=fields)
     reason = returned.reason
-    return [note, *_flow_placement.handle_returned_syn(state, packet, source, reason, now)]
+    return [
+        note,
+        *_flow_placement.handle_returned_syn(state, packet, source, reason, now),
+    ]
 
 
 def _handle_flow_denied(
--- a/shedsill/datagram/_balancer_state.py
+++ b/shedsill/datagram/_balancer_state.py
@@ -8,9 +8,9 @@
 from shedsill._common_effects import WriteLog
 from shedsill.datagram._checkpoints import Checkpoints
 from shedsill.datagram._effects import Effect, ForwardPacket, ResetFlow
+from shedsill.datagram._failure_detection import Nodes
 from shedsill.datagram._forwarding_table import ForwardingTable
 from shedsill.datagram._messages import NodeReport
-from shedsill.datagram._failure_detection import Nodes
 from shedsill.datagram._packet import Packet
 from shedsill.datagram._report_polling import ReportPolling
 from shedsill.datagram._search_state import Search
@@ -148,7 +148,9 @@
     return effects
 
 
-def forward_packet(state: BalancerState, host: str, service: str, packet: Packet) -> Effect:
+def forward_packet(
+    state: BalancerState, host: str, service: str, packet: Packet
+) -> Effect:
     """Return the effect that sends a caller's packet to an agent."""
     route = state.table.routes.get(packet.endpoint)
     return ForwardPacket(host, packet, hash_service(service), route)
--- a/shedsill/datagram/_checkpoint_collection.py
+++ b/shedsill/datagram/_checkpoint_collection.py
@@ -105,7 +105,9 @@
 
 def _update_collector_backoff(checkpoints: Checkpoints, now: float) -> None:
     if checkpoints.unanswered >= MAX_UNANSWERED_PARTS:
-        checkpoints.silent_until[checkpoints.collector] = now + SILENT_COLLECTOR_BACKOFF_SECONDS
+        checkpoints.silent_until[checkpoints.collector] = (
+            now + SILENT_COLLECTOR_BACKOFF_SECONDS
+        )
 
 
 def _send_part(collector: str, number: int, flows: list[OpenFlow]) -> list[Effect]:
--- a/shedsill/datagram/_failure_detection.py
+++ b/shedsill/datagram/_failure_detection.py
@@ -155,7 +155,10 @@
 
 def is_confirmed(view: UpstreamView) -> bool:
     """Whether an agent has told its incarnation itself and is not silent."""
-    return view.confirmed_incarnation == view.report.incarnation and view.silent_since is None
+    return (
+        view.confirmed_incarnation == view.report.incarnation
+        and view.silent_since is None
+    )
 
 
 def _record_direct_report(view: UpstreamView, report: NodeReport, now: float) -> None:
@@ -247,8 +250,12 @@
     if is_ending(view):
         limit = GONE_LOST_AFTER_SECONDS
     else:
-        limit = STOPPING_LOST_AFTER_SECONDS if view.report.stopping else LOST_AFTER_SECONDS
-    return now - view.silent_since >= limit and view.unanswered_probes >= LOST_AFTER_PROBES
+        limit = (
+            STOPPING_LOST_AFTER_SECONDS if view.report.stopping else LOST_AFTER_SECONDS
+        )
+    return (
+        now - view.silent_since >= limit and view.unanswered_probes >= LOST_AFTER_PROBES
+    )
 
 
 def is_isolated(
@@ -303,7 +310,9 @@
     One that was restarted, or had said that it stops, was away itself.
     """
     away = before.report.incarnation != after.report.incarnation
-    return before.unanswered_probes >= SILENT_AFTER_PROBES and not (away or before.report.stopping)
+    return before.unanswered_probes >= SILENT_AFTER_PROBES and not (
+        away or before.report.stopping
+    )
 
 
 def shift_silence_timers(views: Iterable[UpstreamView], pause: float) -> None:
--- a/shedsill/datagram/_flow_placement.py
+++ b/shedsill/datagram/_flow_placement.py
@@ -135,7 +135,9 @@
     return _offer_flow(state, flow, packet, route, now)
 
 
-def assign_flow(state: BalancerState, flow: BalancerFlow, packet: Packet) -> list[Effect]:
+def assign_flow(
+    state: BalancerState, flow: BalancerFlow, packet: Packet
+) -> list[Effect]:
     """Find which upstream the caller has chosen, by what it acknowledges."""
     state.pending_flows.pop(packet.flow, None)
     for host, initial_seq in flow.offered.items():
@@ -204,7 +206,11 @@
             continue
         for host, answer in flow.offered.items():
             view = state.nodes.upstreams.get(host)
-            if answer is None and view is not None and view.last_heard_at < flow.offered_at:
+            if (
+                answer is None
+                and view is not None
+                and view.last_heard_at < flow.offered_at
+            ):
                 _failure_detection.mark_suspect(view, now)
         packet = flow.syn
         route = state.table.routes.get(packet.endpoint) if packet else None
--- a/shedsill/datagram/_flow_search.py
+++ b/shedsill/datagram/_flow_search.py
@@ -22,7 +22,7 @@
 from shedsill.datagram._effects import Effect, ResetFlow, SendMessage
 from shedsill.datagram._messages import Locate, Located, NodeReport, split_into_chunks
 from shedsill.datagram._packet import RST, Packet
-from shedsill.datagram._search_state import SearchPhase, Search
+from shedsill.datagram._search_state import Search, SearchPhase
 from shedsill.datagram._selection import list_preferred_hosts
 
 FLOWS_PER_LOCATE = 80
@@ -39,7 +39,9 @@
     search = state.searches.get(packet.flow)
     if search is None:
         if len(state.searches) >= _search_state.MAX_SEARCHES:
-            return [WriteLog(event=LogEvent.SEARCH_DROPPED, fields={"flow": packet.flow})]
+            return [
+                WriteLog(event=LogEvent.SEARCH_DROPPED, fields={"flow": packet.flow})
+            ]
         search = _start_search(state, packet.flow, packet.ack, now)
         search.packets.append(packet)
         return []
@@ -141,7 +143,9 @@
     _queue_locate(state, key, (flow.host,))
 
 
-def _resolve_unverified(state: BalancerState, located: Located, host: str) -> list[Effect]:
+def _resolve_unverified(
+    state: BalancerState, located: Located, host: str
+) -> list[Effect]:
     """Reset the doubted flows that their agent does not hold; keep the others.
 
     No other agent can hold them: a flow stays where it was opened.
@@ -171,7 +175,9 @@
     if view is None or search is None:
         return []
     service = view.report.service
-    known = BalancerFlow(service=service, last_packet_at=now, started_at=now, host=host, boot=boot)
+    known = BalancerFlow(
+        service=service, last_packet_at=now, started_at=now, host=host, boot=boot
+    )
     state.flows[flow] = known
     state.hosts_with_flows.add(host)
     fields = {
@@ -239,7 +245,9 @@
     zone = state.report.zone
     reports = [v.report for v in views.values()]
     near = {report.host for report in reports if report.zone == zone}
-    likely = list_preferred_hosts(_list_route_reports(state, search), zone=zone, flow=flow)
+    likely = list_preferred_hosts(
+        _list_route_reports(state, search), zone=zone, flow=flow
+    )
     for hosts in (likely, near, search.unsure_hosts):
         search.pending_hosts = search.unsure_hosts.intersection(hosts)
         if search.pending_hosts:
@@ -279,7 +287,9 @@
     return effects
 
 
-def handle_search_denial(state: BalancerState, flow: bytes, source: str) -> list[Effect]:
+def handle_search_denial(
+    state: BalancerState, flow: bytes, source: str
+) -> list[Effect]:
     """Note that an upstream does not hold a flow that is searched for."""
     search = state.searches.get(flow)
     if search is None:
--- a/shedsill/datagram/_health.py
+++ b/shedsill/datagram/_health.py
@@ -144,7 +144,9 @@
 def _begin_pause(health: Health, now: float) -> None:
     forgiven = now - health.avoided_until > AVOIDANCE_RESET_SECONDS
     longer = min(health.avoidance_seconds * 2, MAX_AVOIDANCE_SECONDS)
-    health.avoidance_seconds = FIRST_AVOIDANCE_SECONDS if forgiven or not health.avoidance_seconds else longer
+    health.avoidance_seconds = (
+        FIRST_AVOIDANCE_SECONDS if forgiven or not health.avoidance_seconds else longer
+    )
     health.avoided_until = now + health.avoidance_seconds
     health.quick_share = 0.0
 
--- a/shedsill/datagram/_membership.py
+++ b/shedsill/datagram/_membership.py
@@ -6,13 +6,18 @@
 
 from shedsill._catalogue import LogEvent
 from shedsill._common_effects import WriteLog
-from shedsill.datagram import _checkpoint_collection, _flow_search, _failure_detection, _report_polling
+from shedsill.datagram import (
+    _checkpoint_collection,
+    _failure_detection,
+    _flow_search,
+    _report_polling,
+)
 from shedsill.datagram._balancer_state import BalancerState, reset_flows
 from shedsill.datagram._effects import (
     Effect,
-    RemovePeerReport,
     PullTable,
     ReadCheckpoint,
+    RemovePeerReport,
     SendMessage,
     StoreReport,
 )
@@ -42,7 +47,9 @@
 is down or cut off for less keeps its place."""
 
 
-def handle_direct_report(state: BalancerState, report: NodeReport, now: float) -> list[Effect]:
+def handle_direct_report(
+    state: BalancerState, report: NodeReport, now: float
+) -> list[Effect]:
     """Take in what a node says of itself."""
     if report.host == state.report.host:
         return []
@@ -168,7 +175,9 @@
     if is_first and state.nodes.store_listed:
         for report in unknown:
             effects += _relay_report(state, report)
-    _report_polling.record_read(state.polling, event.now, unknown=bool(unknown), is_collector=is_first)
+    _report_polling.record_read(
+        state.polling, event.now, unknown=bool(unknown), is_collector=is_first
+    )
     for host in event.removed:
         effects += _handle_removed_report(state, host, event.now)
     if event.complete and not state.nodes.store_listed:
@@ -205,7 +214,9 @@
     ]
 
 
-def _store_own_report(state: BalancerState, reports: tuple[NodeReport, ...]) -> list[Effect]:
+def _store_own_report(
+    state: BalancerState, reports: tuple[NodeReport, ...]
+) -> list[Effect]:
     """Keep a report of this balancer in the store.
 
     One of an earlier run is as good: others take from it that there is a balancer at
@@ -243,7 +254,11 @@
     late = now - state.started_at > _failure_detection.SYNC_TIMEOUT_SECONDS
     if late and state.nodes.store_listed:
         return []
-    state.next_sync_at = now + (OUTAGE_SYNC_INTERVAL_SECONDS if late else _failure_detection.PROBE_INTERVAL_SECONDS)
+    state.next_sync_at = now + (
+        OUTAGE_SYNC_INTERVAL_SECONDS
+        if late
+        else _failure_detection.PROBE_INTERVAL_SECONDS
+    )
     seeds = [seed for seed in state.seeds if seed != state.report.host]
     others = sorted({*state.nodes.balancers, *seeds})
     first = state.sync_attempts * PEERS_PER_SYNC % max(len(others), 1)
@@ -289,7 +304,11 @@
     views = state.nodes.upstreams.values()
     doubt = any(v.silent_since is not None and not v.lost for v in views)
     for host, view in state.nodes.upstreams.items():
-        wanted = doubt or host in state.hosts_with_flows or _failure_detection.is_ending(view)
+        wanted = (
+            doubt
+            or host in state.hosts_with_flows
+            or _failure_detection.is_ending(view)
+        )
         if _failure_detection.is_probe_due(view, now, needed=wanted):
             _failure_detection.record_probe(view, now)
             effects.append(SendMessage(host, probe))
@@ -297,13 +316,19 @@
     if _failure_detection.is_isolated(views, now):
         _failure_detection.restart_silence_timers(views, now)
         return effects
-    lost = [h for h, v in state.nodes.upstreams.items() if _failure_detection.has_timed_out(v, now)]
+    lost = [
+        h
+        for h, v in state.nodes.upstreams.items()
+        if _failure_detection.has_timed_out(v, now)
+    ]
     for host in lost:
         effects += _give_up_agent(state, host, state.nodes.upstreams[host], now)
     return effects
 
 
-def handle_returned_agent(state: BalancerState, before: UpstreamView, now: float) -> list[Effect]:
+def handle_returned_agent(
+    state: BalancerState, before: UpstreamView, now: float
+) -> list[Effect]:
     """Draw conclusions from the word of an agent that was silent.
 
     Parameters
@@ -319,7 +344,9 @@
         _flow_search.add_host_to_searches(state, host)
     if not _failure_detection.is_late_answer(before, view):
         return []
-    silent = _failure_detection.restart_silence_timers(state.nodes.upstreams.values(), now)
+    silent = _failure_detection.restart_silence_timers(
+        state.nodes.upstreams.values(), now
+    )
     if not silent:
         return []
     fields = {"upstream": host, "questions": before.unanswered_probes, "silent": silent}
@@ -329,7 +356,9 @@
 def _update_isolation(state: BalancerState, now: float) -> list[Effect]:
     """Note that this balancer has been cut off from most agents, or no longer is."""
     views = state.nodes.upstreams.values()
-    isolated = _failure_detection.is_isolated(views, now, min_probes=_failure_detection.ISOLATED_AFTER_PROBES)
+    isolated = _failure_detection.is_isolated(
+        views, now, min_probes=_failure_detection.ISOLATED_AFTER_PROBES
+    )
     if isolated == state.isolated:
         return []
     state.isolated = isolated
--- a/shedsill/datagram/_report_polling.py
+++ b/shedsill/datagram/_report_polling.py
@@ -51,7 +51,9 @@
     interval: float = MIN_POLL_INTERVAL_SECONDS
 
 
-def record_read(polling: ReportPolling, now: float, *, unknown: bool, is_collector: bool) -> None:
+def record_read(
+    polling: ReportPolling, now: float, *, unknown: bool, is_collector: bool
+) -> None:
     """Note that reports were read, and choose when they are read next.
 
     Parameters
@@ -80,10 +82,12 @@
 
 
 def is_recent(polling: ReportPolling, now: float) -> bool:
-    """Whether the list of nodes is recent, or cannot be had within `READ_TIMEOUT_SECONDS`."""
+    """Whether the list is recent, or cannot be had within `READ_TIMEOUT_SECONDS`."""
     if now - polling.read_at <= MAX_LIST_AGE_SECONDS:
         return True
-    return is_read_pending(polling) and now - polling.requested_at >= READ_TIMEOUT_SECONDS
+    return (
+        is_read_pending(polling) and now - polling.requested_at >= READ_TIMEOUT_SECONDS
+    )
 
 
 def is_read_pending(polling: ReportPolling) -> bool:
--- a/shedsill/datagram/_runtime/agent.py
+++ b/shedsill/datagram/_runtime/agent.py
@@ -68,8 +68,12 @@
         assert settings.outbound is not None
         self._heartbeat_codec = heartbeats
         self._upstream = settings.upstream
-        self._packet_socket = self.sockets.open(settings.packets, self._receive_forwarded)
-        self._outbound_socket = self.sockets.open(settings.outbound, self._receive_upstream)
+        self._packet_socket = self.sockets.open(
+            settings.packets, self._receive_forwarded
+        )
+        self._outbound_socket = self.sockets.open(
+            settings.outbound, self._receive_upstream
+        )
 
     def start_role(self) -> None:
         """Make the agent known and take heartbeats."""
--- a/shedsill/datagram/_runtime/balancer.py
+++ b/shedsill/datagram/_runtime/balancer.py
@@ -23,11 +23,11 @@
 from shedsill.datagram._balancer_state import BalancerState
 from shedsill.datagram._effects import (
     Effect,
-    RemovePeerReport,
     ForwardPacket,
     PullTable,
     ReadCheckpoint,
     ReadReports,
+    RemovePeerReport,
     StoreCheckpoint,
 )
 from shedsill.datagram._events import (
@@ -102,7 +102,9 @@
         self._reports_requested = asyncio.Event()
         self._waiting_between_watches = False
         self._checkpoints = CheckpointStore(
-            self.platform, write_log=self.write_log, handle_checkpoint=self._handle_checkpoint
+            self.platform,
+            write_log=self.write_log,
+            handle_checkpoint=self._handle_checkpoint,
         )
         self._packet_socket = self.sockets.open(settings.packets, self._receive_packet)
 
@@ -140,7 +142,9 @@
         match effect:
             case ForwardPacket(host=host, packet=packet, service=service, route=route):
                 data = self.codec.encode_forwarded(packet, service, route)
-                self.sockets.send(self._packet_socket, data, (host, self.settings.agent_port))
+                self.sockets.send(
+                    self._packet_socket, data, (host, self.settings.agent_port)
+                )
             case PullTable(host=host):
                 if not self._pulling_table:
                     self._pulling_table = True
@@ -267,7 +271,9 @@
 
     def _choose_watch_timeout(self) -> float:
         is_collector = self.state.checkpoints.collector == self.settings.host
-        return COLLECTOR_WATCH_TIMEOUT_SECONDS if is_collector else WATCH_TIMEOUT_SECONDS
+        return (
+            COLLECTOR_WATCH_TIMEOUT_SECONDS if is_collector else WATCH_TIMEOUT_SECONDS
+        )
 
     async def _wait_between_watches(self) -> float | None:
         """Wait until the next watch is due or reports are wanted at once."""
--- a/shedsill/datagram/_runtime/log.py
+++ b/shedsill/datagram/_runtime/log.py
@@ -16,8 +16,8 @@
 import msgspec
 
 from shedsill._catalogue import LogEvent
-from shedsill._limits import Bucket, Rate, take_token
 from shedsill._common_effects import WriteLog
+from shedsill._limits import Bucket, Rate, take_token
 
 LINE_RATE = Rate(per_second=100.0, burst=400.0)
 """Lines of one event: enough for each decision of a node in ordinary hours;
@@ -86,7 +86,10 @@
 
     def flush(self) -> None:
         """Write what has been queued, as far as it goes without waiting."""
-        if self.dropped > self._dropped_reported and len(self._buffer) <= MAX_BUFFER_BYTES:
+        if (
+            self.dropped > self._dropped_reported
+            and len(self._buffer) <= MAX_BUFFER_BYTES
+        ):
             fields = {"dropped": self.dropped - self._dropped_reported}
             self._dropped_reported = self.dropped
             self._append_line(WriteLog(event=LogEvent.LINES_DROPPED, fields=fields))
--- a/shedsill/datagram/_runtime/node.py
+++ b/shedsill/datagram/_runtime/node.py
@@ -110,7 +110,9 @@
         )
         self._tasks: set[asyncio.Task[None]] = set()
         self._platform_failed = False
-        self._message_socket = self.sockets.open(settings.messages, self._receive_message)
+        self._message_socket = self.sockets.open(
+            settings.messages, self._receive_message
+        )
 
     @property
     def now(self) -> float:
--- a/shedsill/datagram/_runtime/reports.py
+++ b/shedsill/datagram/_runtime/reports.py
@@ -148,7 +148,9 @@
             expected=self.version,
         )
 
-    def _has_taken_effect(self, outcome: Outcome, report: NodeReport, removing: bool) -> bool:
+    def _has_taken_effect(
+        self, outcome: Outcome, report: NodeReport, removing: bool
+    ) -> bool:
         """Whether an earlier try, whose answer was lost, has taken effect."""
         assert isinstance(outcome, Conflict)
         if outcome.current is None:
--- a/shedsill/datagram/_runtime/sockets.py
+++ b/shedsill/datagram/_runtime/sockets.py
@@ -62,7 +62,9 @@
         self._sockets.append(sock)
         return sock
 
-    def _receive_datagrams(self, sock: socket.socket, receive: Callable[[bytes, str], None]) -> None:
+    def _receive_datagrams(
+        self, sock: socket.socket, receive: Callable[[bytes, str], None]
+    ) -> None:
         for _ in range(MAX_DATAGRAMS_PER_READ):
             try:
                 data, source = sock.recvfrom(MAX_DATAGRAM_BYTES)
--- a/shedsill/datagram/_runtime/tables.py
+++ b/shedsill/datagram/_runtime/tables.py
@@ -47,7 +47,9 @@
     try:
         content = inflater.decompress(data, MAX_BODY_BYTES)
         if not inflater.eof:
-            raise DecodeError(f"table is cut short or longer than {MAX_BODY_BYTES} octets")
+            raise DecodeError(
+                f"table is cut short or longer than {MAX_BODY_BYTES} octets"
+            )
         return msgspec.json.decode(content)
     except (zlib.error, msgspec.DecodeError) as error:
         raise DecodeError(f"not a table: {error}") from error
--- a/shedsill/datagram/_runtime/traffic.py
+++ b/shedsill/datagram/_runtime/traffic.py
@@ -65,7 +65,10 @@
             "shedsill_messages_total", "Messages sent", "message", self.messages
         )
         octets = format_counters(
-            "shedsill_message_octets_total", "Their octets", "message", self.message_bytes
+            "shedsill_message_octets_total",
+            "Their octets",
+            "message",
+            self.message_bytes,
         )
         return [*calls, *messages, *octets]
 
--- a/shedsill/datagram/_selection.py
+++ b/shedsill/datagram/_selection.py
@@ -113,7 +113,7 @@
 
 
 def count_recent_offers(view: UpstreamView, now: float) -> int:
-    """Return the flows offered within `OFFER_WINDOW_SECONDS`; older ones are dropped."""
+    """Return the flows offered within `OFFER_WINDOW_SECONDS`; drop older ones."""
     offers = view.recent_offers
     while offers and now - offers[0] > OFFER_WINDOW_SECONDS:
         del offers[0]
--- a/shedsill/datagram/_slots.py
+++ b/shedsill/datagram/_slots.py
@@ -22,8 +22,8 @@
     AgentFlow,
     AgentState,
     announce_report,
-    update_busy,
     record_sent_packet,
+    update_busy,
 )
 from shedsill.datagram._backlog import Forecast, QueuedRequest
 from shedsill.datagram._effects import Effect, ObserveLatency, SendToUpstream
--- a/shedsill/datagram/_upstream.py
+++ b/shedsill/datagram/_upstream.py
@@ -139,13 +139,18 @@
     return [
         SendToUpstream(flow.last_request_packet, flow.balancer)
         for flow in state.flows.values()
-        if flow.running and flow.last_request_packet is not None and _was_taken(flow, alive_at)
+        if flow.running
+        and flow.last_request_packet is not None
+        and _was_taken(flow, alive_at)
     ]
 
 
 def _retire_earlier(state: AgentState) -> None:
     """Never believe the run before this one again, if this one surely came later."""
-    if state.first_heartbeat_received and state.earlier_boot not in ("", state.report.boot):
+    if state.first_heartbeat_received and state.earlier_boot not in (
+        "",
+        state.report.boot,
+    ):
         state.ended_boots.add(state.earlier_boot)
 
 
@@ -223,7 +228,10 @@
         return False
     if state.report.state == UpstreamState.UNRESPONSIVE or state.upstream_leaving:
         return bool(state.flows) or not state.upstream_leaving
-    return state.unanswered_since is not None and now - state.unanswered_since > UNANSWERED_LIMIT_SECONDS
+    return (
+        state.unanswered_since is not None
+        and now - state.unanswered_since > UNANSWERED_LIMIT_SECONDS
+    )
 
 
 def handle_check_result(state: AgentState, event: UpstreamChecked) -> list[Effect]:
--- a/shedsill/http3/__init__.py
+++ b/shedsill/http3/__init__.py
@@ -8,7 +8,8 @@
 ========================  ====================================================
 what                      modules
 ========================  ====================================================
-the reducer               ``_reducer``, ``_events``, ``_effects``, ``_platform_purposes``
+the reducer               ``_reducer``, ``_events``, ``_effects``,
+                          ``_platform_purposes``
 every node                ``_node``, ``_status``, ``_frames``, ``_keys``
 configuration             ``_resources``, ``_configuration``, ``_configuration_rules``,
                           ``_acceptor``
--- a/shedsill/http3/_acceptor.py
+++ b/shedsill/http3/_acceptor.py
@@ -25,6 +25,13 @@
     Watch,
 )
 from shedsill.errors import DecodeError, DocumentError
+from shedsill.http3._configuration import (
+    Configuration,
+    UpstreamState,
+    decode_configuration,
+    encode_configuration,
+    is_newer,
+)
 from shedsill.http3._configuration_rules import (
     Acceptance,
     AcceptanceInputs,
@@ -33,13 +40,6 @@
     VerdictKind,
     accept_resources,
 )
-from shedsill.http3._configuration import (
-    Configuration,
-    UpstreamState,
-    decode_configuration,
-    encode_configuration,
-    is_newer,
-)
 from shedsill.http3._effects import CallPlatform, Effect, WriteLog
 from shedsill.http3._node import (
     CONFIGURATION_KIND,
@@ -133,7 +133,9 @@
         return acceptor, effects
     if acceptor.listing_processed:
         call = Watch(
-            kinds=WATCHED_KINDS, revision=acceptor.revision, patience=WATCH_TIMEOUT_SECONDS
+            kinds=WATCHED_KINDS,
+            revision=acceptor.revision,
+            patience=WATCH_TIMEOUT_SECONDS,
         )
         effects.append(CallPlatform(purpose=Purpose.WATCH, call=call))
         return record_call_started(acceptor, Purpose.WATCH), effects
@@ -241,7 +243,9 @@
         value=encode_configuration(wanted),
         expected=version,
     )
-    acceptor = evolve(record_call_started(acceptor, Purpose.ACCEPT), pending_configuration=wanted)
+    acceptor = evolve(
+        record_call_started(acceptor, Purpose.ACCEPT), pending_configuration=wanted
+    )
     return acceptor, [CallPlatform(purpose=Purpose.ACCEPT, call=call)]
 
 
@@ -319,7 +323,9 @@
     for upstream in base.upstreams:
         if upstream.state != UpstreamState.DRAINING:
             continue
-        listed = not acceptor.listed_machines or upstream.name in acceptor.listed_machines
+        listed = (
+            not acceptor.listed_machines or upstream.name in acceptor.listed_machines
+        )
         dead = not listed and is_lost(node, upstream.name, now)
         if upstream.number in reported or dead:
             drained.add(upstream.number)
@@ -411,7 +417,9 @@
         "nodes": 1 + len(reports),
         "holder": node.name,
     }
-    acceptor = evolve(acceptor, next_cluster_status_at=now + CLUSTER_STATUS_INTERVAL_SECONDS)
+    acceptor = evolve(
+        acceptor, next_cluster_status_at=now + CLUSTER_STATUS_INTERVAL_SECONDS
+    )
     if immutables.Map(value) == acceptor.cluster_status_value:
         return acceptor, []
     call = Put(
--- a/shedsill/http3/_admission.py
+++ b/shedsill/http3/_admission.py
@@ -196,17 +196,28 @@
         the queue.
     """
     if is_breaker_blocking(admission, now):
-        return AdmissionResult(decision=AdmissionDecision.REFUSE, reason="upstream fails")
+        return AdmissionResult(
+            decision=AdmissionDecision.REFUSE, reason="upstream fails"
+        )
     if not request.needs_slot:
         if admission.streams >= admission.stream_limit:
-            return AdmissionResult(decision=AdmissionDecision.REFUSE, reason="too many streams")
+            return AdmissionResult(
+                decision=AdmissionDecision.REFUSE, reason="too many streams"
+            )
         return AdmissionResult(decision=AdmissionDecision.START)
     if count_free_slots(admission, now) > 0 and not admission.queue:
         return AdmissionResult(decision=AdmissionDecision.START)
     if _count_queued(admission, request) >= _get_share(admission, class_count):
-        return AdmissionResult(decision=AdmissionDecision.REFUSE, reason="queue is full")
-    if now + estimate_wait(admission, now) + admission.service_time > request.expires_at:
-        return AdmissionResult(decision=AdmissionDecision.REFUSE, reason="would not start in time")
+        return AdmissionResult(
+            decision=AdmissionDecision.REFUSE, reason="queue is full"
+        )
+    if (
+        now + estimate_wait(admission, now) + admission.service_time
+        > request.expires_at
+    ):
+        return AdmissionResult(
+            decision=AdmissionDecision.REFUSE, reason="would not start in time"
+        )
     return AdmissionResult(decision=AdmissionDecision.QUEUE)
 
 
@@ -290,7 +301,9 @@
         streams=admission.streams + (not request.needs_slot),
         retry_budget=min(admission.retry_budget + earned, MAX_RETRY_BUDGET),
     )
-    return put_request(admission, evolve(request, phase=RequestPhase.RUNNING, started_at=now))
+    return put_request(
+        admission, evolve(request, phase=RequestPhase.RUNNING, started_at=now)
+    )
 
 
 def drop_request(
@@ -315,15 +328,21 @@
     releasing = tuple(end for end in admission.slot_release_times if end > now)
     if aborted:
         releasing = (*releasing, now + admission.settings.cancel_grace)
-    return evolve(admission, running=admission.running - 1, slot_release_times=releasing)
+    return evolve(
+        admission, running=admission.running - 1, slot_release_times=releasing
+    )
 
 
-def update_service_time(admission: Admission, request: Request, now: float) -> Admission:
+def update_service_time(
+    admission: Admission, request: Request, now: float
+) -> Admission:
     """Take in how long a finished request held its slot."""
     if not request.needs_slot:
         return admission
     elapsed = now - request.started_at
-    smoothed = admission.service_time + SERVICE_TIME_SMOOTHING * (elapsed - admission.service_time)
+    smoothed = admission.service_time + SERVICE_TIME_SMOOTHING * (
+        elapsed - admission.service_time
+    )
     return evolve(admission, service_time=smoothed)
 
 
@@ -347,7 +366,9 @@
     if failures < settings.breaker_failures and not trying:
         return evolve(admission, breaker=Breaker(failures=failures))
     breaker = Breaker(
-        state=BreakerState.OPEN, failures=failures, open_until=now + settings.breaker_pause
+        state=BreakerState.OPEN,
+        failures=failures,
+        open_until=now + settings.breaker_pause,
     )
     return evolve(admission, breaker=breaker)
 
--- a/shedsill/http3/_agent.py
+++ b/shedsill/http3/_agent.py
@@ -5,16 +5,20 @@
 from attrs import evolve
 
 from shedsill._catalogue import LogEvent
-from shedsill.http3._admission import count_free_slots, record_upstream_load, update_breaker
+from shedsill.http3._admission import (
+    count_free_slots,
+    record_upstream_load,
+    update_breaker,
+)
 from shedsill.http3._agent_state import AgentState, get_vitals
 from shedsill.http3._configuration import Configuration
 from shedsill.http3._drain import (
     advance_drain,
-    start_drain,
     report_status,
+    start_drain,
     update_drain,
 )
-from shedsill.http3._effects import Effect, WriteLog, Send
+from shedsill.http3._effects import Effect, Send, WriteLog
 from shedsill.http3._events import (
     ConfigurationOffered,
     FlowClosed,
@@ -27,15 +31,15 @@
 )
 from shedsill.http3._flows import (
     drop_expired_decisions,
-    replace_silent_reply_paths,
-    record_reply_path,
     handle_caller_datagram,
+    record_reply_path,
+    replace_silent_reply_paths,
 )
 from shedsill.http3._frames import Heartbeat, ToUpstream
 from shedsill.http3._node import (
+    apply_newer_configuration,
     handle_gossip,
     make_probe_answer,
-    apply_newer_configuration,
     send_heartbeats,
 )
 from shedsill.http3._outcomes import add_issuer, drop_expired_records, merge_transfer
@@ -127,7 +131,9 @@
     )
     if not first:
         return evolve(state, admission=admission)
-    admission = evolve(admission, slots_available_at=now + get_longest_deadline(service))
+    admission = evolve(
+        admission, slots_available_at=now + get_longest_deadline(service)
+    )
     return evolve(state, admission=admission, slow_start_at=now)
 
 
@@ -151,7 +157,9 @@
     return state, effects + more
 
 
-def _handle_heartbeat(state: AgentState, event: FrameReceived, frame: Heartbeat) -> Step:
+def _handle_heartbeat(
+    state: AgentState, event: FrameReceived, frame: Heartbeat
+) -> Step:
     sender = frame.reports[0] if frame.reports else None
     if sender is not None and sender.balancer and not sender.leaving:
         state = record_reply_path(state, event.source, event.now, passed=False)
--- a/shedsill/http3/_agent_state.py
+++ b/shedsill/http3/_agent_state.py
@@ -10,8 +10,8 @@
 from shedsill.http3._admission import Admission
 from shedsill.http3._frames import Load
 from shedsill.http3._keys import KeyRing
-from shedsill.http3._node import Node, HeartbeatPayload
-from shedsill.http3._outcomes import OutcomeTable, IssuerKey, Transfer
+from shedsill.http3._node import HeartbeatPayload, Node
+from shedsill.http3._outcomes import IssuerKey, OutcomeTable, Transfer
 from shedsill.http3._placement import Policy, TwoCandidates
 from shedsill.http3._status import StatusWriter
 
@@ -173,4 +173,6 @@
 
 def get_vitals(state: AgentState) -> HeartbeatPayload:
     """Return what heartbeats say of this agent."""
-    return HeartbeatPayload(service=state.service, upstream=state.upstream, load=get_load(state))
+    return HeartbeatPayload(
+        service=state.service, upstream=state.upstream, load=get_load(state)
+    )
--- a/shedsill/http3/_balancer.py
+++ b/shedsill/http3/_balancer.py
@@ -6,7 +6,7 @@
 from attrs import evolve, field, frozen
 
 from shedsill._catalogue import LogEvent
-from shedsill.coordination.lease import is_held, record_outcome, plan_call
+from shedsill.coordination.lease import is_held, plan_call, record_outcome
 from shedsill.coordination.platform import (
     Changed,
     Listing,
@@ -18,17 +18,17 @@
     CLUSTER_STATUS_NAME,
     RETRY_DELAY_SECONDS,
     Acceptor,
-    record_call_ended,
+    find_accepted_configuration,
+    handle_listing,
     is_lease_candidate,
-    schedule_list,
     plan_calls,
-    find_accepted_configuration,
+    record_call_ended,
     record_call_started,
-    handle_listing,
     record_machines,
+    schedule_list,
 )
 from shedsill.http3._configuration import is_newer
-from shedsill.http3._effects import CallPlatform, Effect, Exit, WriteLog, Send
+from shedsill.http3._effects import CallPlatform, Effect, Exit, Send, WriteLog
 from shedsill.http3._events import (
     CallerDatagram,
     ConfigurationOffered,
@@ -40,20 +40,20 @@
 from shedsill.http3._frames import Heartbeat, ToCaller
 from shedsill.http3._keys import KeyRing
 from shedsill.http3._node import (
-    Node,
     HeartbeatPayload,
+    Node,
+    apply_newer_configuration,
     handle_gossip,
     make_probe_answer,
-    apply_newer_configuration,
     send_heartbeats,
 )
 from shedsill.http3._platform_purposes import Purpose
 from shedsill.http3._routing import (
     Router,
     list_agents_to_probe,
+    prune_agents,
     record_agent_load,
     record_awaited_answer,
-    prune_agents,
     relay_to_caller,
     route_datagram,
 )
@@ -119,7 +119,9 @@
             effects.append(relay_to_caller(frame))
         case Heartbeat():
             if frame.upstream:
-                router = record_agent_load(router, frame.upstream, frame.load, event.now)
+                router = record_agent_load(
+                    router, frame.upstream, frame.load, event.now
+                )
             if frame.probe:
                 answer = make_probe_answer(node, HeartbeatPayload())
                 effects.append(Send(destination=event.source, frame=answer))
@@ -162,7 +164,9 @@
 
 def _renew_lease(state: BalancerState, now: float) -> Step:
     acceptor = state.acceptor
-    if Purpose.LEASE in acceptor.pending_calls or not is_lease_candidate(state.node, now):
+    if Purpose.LEASE in acceptor.pending_calls or not is_lease_candidate(
+        state.node, now
+    ):
         return state, []
     lease, call = plan_call(acceptor.lease, now)
     if call is None:
@@ -287,7 +291,9 @@
     pending = acceptor.pending_configuration
     stored = isinstance(event.outcome, Stored)
     pause = 0.0 if stored else RETRY_DELAY_SECONDS
-    acceptor = schedule_list(evolve(acceptor, pending_configuration=None), event.now, delay=pause)
+    acceptor = schedule_list(
+        evolve(acceptor, pending_configuration=None), event.now, delay=pause
+    )
     state = evolve(state, acceptor=acceptor)
     if not stored or pending is None:
         fields = {"purpose": "accept", "reason": str(event.outcome)}
--- a/shedsill/http3/_configuration_rules.py
+++ b/shedsill/http3/_configuration_rules.py
@@ -1,7 +1,7 @@
 """How stored resources become the next accepted configuration.
 
-`accept_resources` is a pure function of the configuration in force and the resources now
-stored.  It never reuses an upstream number or a service number, keeps an
+`accept_resources` is a pure function of the configuration in force and the
+resources now stored.  It never reuses an upstream number or a service number, keeps an
 upstream that was taken out of its set until the agent beside it reports that
 its last flow has ended, and leaves the last accepted form of a resource in
 force when the new form is refused.
@@ -100,10 +100,11 @@
     Examples
     --------
     >>> service = Service(name="intake", address="127.0.0.1:443")
-    >>> accepted = accept_resources(Configuration(), AcceptanceInputs(services=(service,)))
+    >>> inputs = AcceptanceInputs(services=(service,))
+    >>> accepted = accept_resources(Configuration(), inputs)
     >>> accepted.configuration.generation
     1
-    >>> again = accept_resources(accepted.configuration, AcceptanceInputs(services=(service,)))
+    >>> again = accept_resources(accepted.configuration, inputs)
     >>> again.configuration.generation
     1
     """
--- a/shedsill/http3/_drain.py
+++ b/shedsill/http3/_drain.py
@@ -97,7 +97,9 @@
         pending_transfers=transfers if known else (),
     )
     node = evolve(state.node, incarnation=state.node.incarnation + 1)
-    state = evolve(state, node=node, drain=drain, record_successors=handed, outcomes=OutcomeTable())
+    state = evolve(
+        state, node=node, drain=drain, record_successors=handed, outcomes=OutcomeTable()
+    )
     return evolve(state, outcomes=add_issuer(state.outcomes, state.issuer))
 
 
--- a/shedsill/http3/_flows.py
+++ b/shedsill/http3/_flows.py
@@ -7,22 +7,31 @@
 from shedsill._addresses import Address
 from shedsill._catalogue import LogEvent
 from shedsill._limits import take_token
-from shedsill.http3._agent_state import AgentState, PeerLoad, PlacementDecision, get_load
+from shedsill.http3._agent_state import (
+    AgentState,
+    PeerLoad,
+    PlacementDecision,
+    get_load,
+)
 from shedsill.http3._configuration import AcceptedUpstream
 from shedsill.http3._effects import (
     Deliver,
     Effect,
     MoveReplyPath,
-    WriteLog,
     RefuseFlow,
     RequireRetry,
     ResetFlow,
     Send,
+    WriteLog,
 )
 from shedsill.http3._events import FrameReceived
 from shedsill.http3._frames import Candidate, ToUpstream
 from shedsill.http3._packets import PacketHeader, PacketKind, read_packet_header
-from shedsill.http3._placement import MIN_SLOW_START_SHARE, is_alternate_preferred, rank_upstreams
+from shedsill.http3._placement import (
+    MIN_SLOW_START_SHARE,
+    is_alternate_preferred,
+    rank_upstreams,
+)
 
 DECISION_LIFETIME_SECONDS = 10.0
 FORWARD_TIMEOUT_SECONDS = 0.8
@@ -35,7 +44,9 @@
 Step = tuple[AgentState, list[Effect]]
 
 
-def handle_caller_datagram(state: AgentState, event: FrameReceived, frame: ToUpstream) -> Step:
+def handle_caller_datagram(
+    state: AgentState, event: FrameReceived, frame: ToUpstream
+) -> Step:
     """Decide what becomes of a caller's datagram."""
     state = record_reply_path(state, event.source, event.now, passed=frame.passed)
     if frame.upstream != state.upstream or frame.service != state.service:
@@ -60,11 +71,16 @@
 
 def _deliver(frame: ToUpstream, reply_to: Address, *, fresh: bool) -> Deliver:
     return Deliver(
-        caller=frame.caller, datagram=frame.datagram, reply_to=reply_to, can_open_connection=fresh
+        caller=frame.caller,
+        datagram=frame.datagram,
+        reply_to=reply_to,
+        can_open_connection=fresh,
     )
 
 
-def _reset_flow(packet: PacketHeader, frame: ToUpstream, reply_to: Address) -> list[Effect]:
+def _reset_flow(
+    packet: PacketHeader, frame: ToUpstream, reply_to: Address
+) -> list[Effect]:
     if packet.kind != PacketKind.SHORT:
         return []
     effect = ResetFlow(
@@ -133,7 +149,9 @@
     target = None
     if not frame.passed:
         state, alternate = _estimate_alternate(state, frame.alternate, event.now)
-        if is_alternate_preferred(state.policy, load, alternate, slow_start_share=warmth):
+        if is_alternate_preferred(
+            state.policy, load, alternate, slow_start_share=warmth
+        ):
             assert alternate is not None
             target = state.node.configuration.find_upstream(alternate.upstream)
         elif not load.open:
@@ -166,14 +184,22 @@
     heard = now - candidate.age
     peer_load = state.peer_loads.get(candidate.upstream)
     changed = peer_load is None or candidate.load != peer_load.load
-    if peer_load is None or (changed and heard > peer_load.reported_at + REPORT_AGE_RESOLUTION_SECONDS):
-        peer_load = PeerLoad(load=candidate.load, reported_at=heard, own_flows=state.flow_count)
-        state = evolve(state, peer_loads=state.peer_loads.set(candidate.upstream, peer_load))
+    if peer_load is None or (
+        changed and heard > peer_load.reported_at + REPORT_AGE_RESOLUTION_SECONDS
+    ):
+        peer_load = PeerLoad(
+            load=candidate.load, reported_at=heard, own_flows=state.flow_count
+        )
+        state = evolve(
+            state, peer_loads=state.peer_loads.set(candidate.upstream, peer_load)
+        )
     peers = len(state.node.configuration.list_upstreams(state.service)) - 1
     grown = state.flow_count - peer_load.own_flows
     flows = peer_load.load.flows + grown + peer_load.forwarded_flows * max(peers, 1)
     load = evolve(peer_load.load, flows=max(flows, 0))
-    return state, evolve(candidate, load=load, age=max(now - peer_load.reported_at, 0.0))
+    return state, evolve(
+        candidate, load=load, age=max(now - peer_load.reported_at, 0.0)
+    )
 
 
 def _count_forwarded(state: AgentState, upstream: int) -> AgentState:
--- a/shedsill/http3/_frames.py
+++ b/shedsill/http3/_frames.py
@@ -10,7 +10,7 @@
 from shedsill._addresses import Address
 from shedsill.coordination.membership import NodeReport
 from shedsill.errors import DecodeError
-from shedsill.http3._keys import KeyRing, verify_message, sign_message
+from shedsill.http3._keys import KeyRing, sign_message, verify_message
 
 capnp.remove_import_hook()
 SCHEMA = capnp.load(str(pathlib.Path(__file__).with_name("frames.capnp")))
--- a/shedsill/http3/_keys.py
+++ b/shedsill/http3/_keys.py
@@ -166,7 +166,9 @@
         plain = _TICKET.pack(
             ticket.upstream, ticket.incarnation, ticket.number, ticket.expires_at
         )
-        sealed = AESSIV(_derive_key(self.secrets[0], b"ticket", 32)).encrypt(plain, None)
+        sealed = AESSIV(_derive_key(self.secrets[0], b"ticket", 32)).encrypt(
+            plain, None
+        )
         return base64.urlsafe_b64encode(sealed).decode().rstrip("=")
 
     def decrypt_ticket(self, text: str) -> Ticket | None:
--- a/shedsill/http3/_node.py
+++ b/shedsill/http3/_node.py
@@ -14,16 +14,16 @@
     Membership,
     choose_peers,
     choose_reports,
-    remove_silent_members,
     list_live_members,
     merge_reports,
+    remove_silent_members,
 )
 from shedsill.coordination.platform import Found, Get, StoredObject
 from shedsill.coordination.propagation import (
     Propagation,
+    handle_generation,
     record_applied,
     record_pull_failure,
-    handle_generation,
 )
 from shedsill.errors import DecodeError
 from shedsill.http3._configuration import (
@@ -35,9 +35,9 @@
     ApplyConfiguration,
     CallPlatform,
     Effect,
-    WriteLog,
     PullConfiguration,
     Send,
+    WriteLog,
 )
 from shedsill.http3._events import PlatformAnswered
 from shedsill.http3._frames import Frame, Heartbeat, Load, NodeReport
@@ -106,7 +106,9 @@
     )
 
 
-def make_heartbeat(node: Node, payload: HeartbeatPayload, *, now: float, seed: int) -> Heartbeat:
+def make_heartbeat(
+    node: Node, payload: HeartbeatPayload, *, now: float, seed: int
+) -> Heartbeat:
     """Return a heartbeat that passes on what this node knows of others."""
     reports = choose_reports(node.membership, make_report(node), now, seed)
     return _fill_heartbeat(node, payload, reports, probe=True)
@@ -123,7 +125,11 @@
 
 
 def _fill_heartbeat(
-    node: Node, payload: HeartbeatPayload, reports: tuple[NodeReport, ...], *, probe: bool
+    node: Node,
+    payload: HeartbeatPayload,
+    reports: tuple[NodeReport, ...],
+    *,
+    probe: bool,
 ) -> Heartbeat:
     return Heartbeat(
         generation=node.configuration.generation,
@@ -190,13 +196,17 @@
     return [
         WriteLog(event=LogEvent.MEMBER_SILENT, fields={"node": member.report.name})
         for member in node.membership.members.values()
-        if SILENT_AFTER_SECONDS <= now - member.last_heard_at < SILENT_AFTER_SECONDS + HEARTBEAT_INTERVAL_SECONDS
+        if SILENT_AFTER_SECONDS
+        <= now - member.last_heard_at
+        < SILENT_AFTER_SECONDS + HEARTBEAT_INTERVAL_SECONDS
     ]
 
 
 def list_peer_groups(node: Node, now: float) -> tuple[tuple[Address, ...], ...]:
     """Return the groups of addresses to which a heartbeat may go."""
-    live = tuple(member.report.address for member in list_live_members(node.membership, now))
+    live = tuple(
+        member.report.address for member in list_live_members(node.membership, now)
+    )
     return (live, node.configuration.agent_addresses, node.seed_addresses)
 
 
@@ -270,7 +280,9 @@
         return node, []
     call = Get(kind=CONFIGURATION_KIND, name=CONFIGURATION_NAME)
     effect = CallPlatform(purpose=Purpose.CONFIGURATION, call=call)
-    return evolve(node, next_configuration_read_at=now + CONFIGURATION_READ_INTERVAL_SECONDS), [effect]
+    return evolve(
+        node, next_configuration_read_at=now + CONFIGURATION_READ_INTERVAL_SECONDS
+    ), [effect]
 
 
 def decode_configuration_answer(event: PlatformAnswered) -> Configuration | None:
--- a/shedsill/http3/_outcomes.py
+++ b/shedsill/http3/_outcomes.py
@@ -103,11 +103,15 @@
     return key in table.issuers
 
 
-def add_issuer(table: OutcomeTable, key: IssuerKey, *, clock_offset: float = 0.0) -> OutcomeTable:
+def add_issuer(
+    table: OutcomeTable, key: IssuerKey, *, clock_offset: float = 0.0
+) -> OutcomeTable:
     """Begin to answer for the tickets of an incarnation."""
     if key in table.issuers:
         return table
-    return evolve(table, issuers=table.issuers.set(key, IssuerRecords(clock_offset=clock_offset)))
+    return evolve(
+        table, issuers=table.issuers.set(key, IssuerRecords(clock_offset=clock_offset))
+    )
 
 
 def get_local_expiry(table: OutcomeTable, key: IssuerKey, expires: float) -> float:
@@ -120,7 +124,9 @@
     return table.issuers.get(key, IssuerRecords()).records.get(number)
 
 
-def put_record(table: OutcomeTable, key: IssuerKey, number: int, record: Record) -> OutcomeTable:
+def put_record(
+    table: OutcomeTable, key: IssuerKey, number: int, record: Record
+) -> OutcomeTable:
     """Add or replace a record.
 
     Examples
@@ -153,7 +159,9 @@
     Refusals are recorded all the same; they are small, and their number is
     bounded by the rate of requests and the lifetime of tickets.
     """
-    return table.record_count >= MAX_RECORDS or table.recorded_bytes >= MAX_RECORDED_BYTES
+    return (
+        table.record_count >= MAX_RECORDS or table.recorded_bytes >= MAX_RECORDED_BYTES
+    )
 
 
 def drop_expired_records(table: OutcomeTable, now: float) -> OutcomeTable:
@@ -171,7 +179,9 @@
     if issuers is table.issuers:
         return table
     record_count = sum(len(issued.records) for issued in issuers.values())
-    return OutcomeTable(issuers=issuers, record_count=record_count, recorded_bytes=recorded_bytes)
+    return OutcomeTable(
+        issuers=issuers, record_count=record_count, recorded_bytes=recorded_bytes
+    )
 
 
 @frozen(kw_only=True)
--- a/shedsill/http3/_packets.py
+++ b/shedsill/http3/_packets.py
@@ -63,4 +63,6 @@
             return None
         case _:
             kind = PacketKind.LONG
-    return PacketHeader(kind, header.destination_cid, header.source_cid, bool(header.token))
+    return PacketHeader(
+        kind, header.destination_cid, header.source_cid, bool(header.token)
+    )
--- a/shedsill/http3/_peers.py
+++ b/shedsill/http3/_peers.py
@@ -11,11 +11,11 @@
 from shedsill.errors import DecodeError
 from shedsill.http3._answers import Header, RecordedAnswer
 from shedsill.http3._frames import SCHEMA
-from shedsill.http3._keys import KeyRing, verify_message, sign_message
+from shedsill.http3._keys import KeyRing, sign_message, verify_message
 from shedsill.http3._outcomes import (
     Done,
-    MayHaveRun,
     IssuerKey,
+    MayHaveRun,
     Record,
     Refused,
     Transfer,
--- a/shedsill/http3/_placement.py
+++ b/shedsill/http3/_placement.py
@@ -82,7 +82,9 @@
     >>> get_utilization(Load(flows=5, flow_limit=100), slow_start_share=0.1)
     0.5
     """
-    return load.flows / max(load.flow_limit * max(slow_start_share, MIN_SLOW_START_SHARE), 1.0)
+    return load.flows / max(
+        load.flow_limit * max(slow_start_share, MIN_SLOW_START_SHARE), 1.0
+    )
 
 
 def can_accept_flow(load: Load) -> bool:
@@ -102,7 +104,11 @@
 
 
 def is_alternate_preferred(
-    policy: Policy, own: Load, alternate: Candidate | None, *, slow_start_share: float = 1.0
+    policy: Policy,
+    own: Load,
+    alternate: Candidate | None,
+    *,
+    slow_start_share: float = 1.0,
 ) -> bool:
     """Whether the first agent passes a new flow on.
 
@@ -127,5 +133,7 @@
             if is_saturated(own) != is_saturated(alternate.load):
                 return is_saturated(own)
             step = margin / max(own.flow_limit, 1)
-            difference = get_utilization(own, slow_start_share=slow_start_share) - get_utilization(alternate.load)
+            difference = get_utilization(
+                own, slow_start_share=slow_start_share
+            ) - get_utilization(alternate.load)
             return difference > step
--- a/shedsill/http3/_reducer.py
+++ b/shedsill/http3/_reducer.py
@@ -38,7 +38,10 @@
     UpstreamFailed,
     UpstreamLoadRead,
 )
-from shedsill.http3._node import decode_configuration_answer, request_first_configuration
+from shedsill.http3._node import (
+    decode_configuration_answer,
+    request_first_configuration,
+)
 from shedsill.http3._platform_purposes import Purpose
 from shedsill.http3._status import record_status_outcome
 
@@ -136,7 +139,9 @@
         case HandoverDone():
             return _drain.handle_handover_result(state, event)
         case PlatformAnswered():
-            return evolve(state, status_writer=record_status_outcome(state.status_writer, event)), []
+            return evolve(
+                state, status_writer=record_status_outcome(state.status_writer, event)
+            ), []
         case StopRequested():
             return _agent.handle_stop(state, event)
         case _:
--- a/shedsill/http3/_request_completion.py
+++ b/shedsill/http3/_request_completion.py
@@ -20,7 +20,13 @@
 )
 from shedsill.http3._agent_state import AgentState
 from shedsill.http3._answers import RecordedAnswer, RequestOutcome
-from shedsill.http3._effects import SendAnswer, ResetAnswerStream, Effect, WriteLog, RefuseRequest
+from shedsill.http3._effects import (
+    Effect,
+    RefuseRequest,
+    ResetAnswerStream,
+    SendAnswer,
+    WriteLog,
+)
 from shedsill.http3._events import (
     RequestArrived,
 )
@@ -58,16 +64,24 @@
     return state, effects
 
 
-def complete_with_answer(state: AgentState, request: Request, answer: RecordedAnswer) -> Step:
+def complete_with_answer(
+    state: AgentState, request: Request, answer: RecordedAnswer
+) -> Step:
     """Give the answer to a request and to all that repeated it."""
     waiters = get_waiters(state, request)
     record = find_request_record(state, request)
     if record is not None:
         small = len(answer.body) <= MAX_RECORDED_BODY_BYTES
         settled = (
-            Done(fingerprint=record.fingerprint, expires_at=record.expires_at, answer=answer)
+            Done(
+                fingerprint=record.fingerprint,
+                expires_at=record.expires_at,
+                answer=answer,
+            )
             if small
-            else MayHaveRun(fingerprint=record.fingerprint, expires_at=record.expires_at)
+            else MayHaveRun(
+                fingerprint=record.fingerprint, expires_at=record.expires_at
+            )
         )
         state = put_request_record(state, request, settled)
     effects: list[Effect] = [log_request(LogEvent.REQUEST_DONE, request)]
@@ -152,7 +166,9 @@
     return find_record(state.outcomes, request.issuer, request.ticket_number)
 
 
-def put_request_record(state: AgentState, request: Request, record: Record) -> AgentState:
+def put_request_record(
+    state: AgentState, request: Request, record: Record
+) -> AgentState:
     """Replace the record of a request's ticket."""
     assert request.issuer is not None
     outcomes = put_record(state.outcomes, request.issuer, request.ticket_number, record)
--- a/shedsill/http3/_requests.py
+++ b/shedsill/http3/_requests.py
@@ -9,28 +9,28 @@
 from shedsill._catalogue import LogEvent
 from shedsill.http3._admission import (
     AdmissionDecision,
-    RequestPhase,
     Request,
+    RequestPhase,
     choose_next_request,
     decide_admission,
     drop_request,
-    record_failure,
-    update_service_time,
-    record_success,
     put_request,
     queue_request,
+    record_failure,
+    record_success,
     start_request,
     take_retry,
+    update_service_time,
 )
 from shedsill.http3._agent_state import AgentState
 from shedsill.http3._effects import (
     AbortUpstreamRequest,
-    SendAnswer,
     DeclineForwardedRequest,
     Effect,
-    WriteLog,
     ForwardRequest,
+    SendAnswer,
     SendUpstreamRequest,
+    WriteLog,
 )
 from shedsill.http3._events import (
     PeerAnswered,
@@ -46,8 +46,8 @@
     MAX_RECORDED_BODY_BYTES,
     TICKET_LIFETIME_SECONDS,
     Done,
-    MayHaveRun,
     IssuerKey,
+    MayHaveRun,
     Record,
     Refused,
     Running,
@@ -56,7 +56,6 @@
     has_issuer,
     is_full,
 )
-from shedsill.http3._resources import RequestClass, RequestKind, match_class
 from shedsill.http3._request_completion import (
     STATUS_BAD_GATEWAY,
     STATUS_BAD_REQUEST,
@@ -64,20 +63,21 @@
     STATUS_TIMEOUT,
     STATUS_TOO_LARGE,
     STATUS_UNAVAILABLE,
-    get_log_fields,
-    find_request_record,
+    build_refusal,
+    build_unknown_answer,
+    complete_relayed,
+    complete_unknown,
+    complete_with_answer,
     complete_without_answer,
+    find_request_record,
+    get_log_fields,
     log_request,
     put_request_record,
     record_refusal,
     record_unknown,
-    build_refusal,
-    build_unknown_answer,
     set_admission,
-    complete_with_answer,
-    complete_relayed,
-    complete_unknown,
 )
+from shedsill.http3._resources import RequestClass, RequestKind, match_class
 
 MAX_HOPS = 2
 
@@ -153,14 +153,14 @@
     assert request.issuer is not None
     expires = get_local_expiry(state.outcomes, request.issuer, ticket.expires_at)
     if expires <= event.now:
-        return state, [build_unknown_answer(request, STATUS_CONFLICT, "the ticket has expired")]
+        return state, [
+            build_unknown_answer(request, STATUS_CONFLICT, "the ticket has expired")
+        ]
     if is_full(state.outcomes):
         refused = Refused(fingerprint=request.fingerprint, expires_at=expires)
         state = put_request_record(state, request, refused)
         reason = "the record of outcomes is full"
-        return state, [
-            build_refusal(state, request, STATUS_UNAVAILABLE, reason, event)
-        ]
+        return state, [build_refusal(state, request, STATUS_UNAVAILABLE, reason, event)]
     running = Running(
         fingerprint=request.fingerprint, expires_at=expires, request=request.number
     )
@@ -293,7 +293,9 @@
     while (number := choose_next_request(state.admission, now)) is not None:
         request = state.admission.requests[number]
         if request.expires_at - now < state.admission.service_time / 2:
-            state, more = complete_without_answer(state, request, "no time left", now, seed)
+            state, more = complete_without_answer(
+                state, request, "no time left", now, seed
+            )
         else:
             state, more = _start(state, request, now)
         effects += more
@@ -308,7 +310,9 @@
         if request.phase == RequestPhase.QUEUED:
             needed = min(state.admission.service_time, request.request_class.deadline)
             if request.expires_at - now < needed / 2:
-                state, more = complete_without_answer(state, request, "no time left", now, seed)
+                state, more = complete_without_answer(
+                    state, request, "no time left", now, seed
+                )
         elif request.expires_at <= now:
             state, more = _expire(state, request, now)
         effects += more
@@ -388,7 +392,9 @@
         state, effects = _record_success(set_admission(state, admission))
     if event.shed:
         reason = "the upstream shed the request"
-        state, more = complete_without_answer(state, request, reason, event.now, event.seed)
+        state, more = complete_without_answer(
+            state, request, reason, event.now, event.seed
+        )
     elif event.answer is None:
         state, more = complete_relayed(state, request)
     else:
@@ -414,7 +420,11 @@
     state: AgentState, request: Request, event: UpstreamFailed
 ) -> Step:
     repeatable = request.request_class.repeatable or not event.sent
-    allowed = repeatable and request.body_complete and not (request.retried or request.answer_started)
+    allowed = (
+        repeatable
+        and request.body_complete
+        and not (request.retried or request.answer_started)
+    )
     if allowed and state.drain is None and event.now < request.expires_at:
         admission, taken = take_retry(state.admission)
         state = set_admission(state, admission)
--- a/shedsill/http3/_routing.py
+++ b/shedsill/http3/_routing.py
@@ -12,11 +12,16 @@
 from shedsill._catalogue import LogEvent
 from shedsill._limits import Bucket, Rate, take_token
 from shedsill.http3._configuration import AcceptedUpstream, Configuration
-from shedsill.http3._effects import Effect, WriteLog, Send, SendToCaller
+from shedsill.http3._effects import Effect, Send, SendToCaller, WriteLog
 from shedsill.http3._events import CallerDatagram
 from shedsill.http3._frames import Candidate, Load, ToCaller, ToUpstream
 from shedsill.http3._keys import KeyRing
-from shedsill.http3._packets import MIN_INITIAL_BYTES, PacketHeader, PacketKind, read_packet_header
+from shedsill.http3._packets import (
+    MIN_INITIAL_BYTES,
+    PacketHeader,
+    PacketKind,
+    read_packet_header,
+)
 from shedsill.http3._placement import can_accept_flow, rank_upstreams
 
 MAX_CALLER_BUCKETS = 10_000
@@ -76,7 +81,10 @@
 
 def is_silent(agent: AgentStatus, now: float) -> bool:
     """Whether an agent has left a question open for too long."""
-    return agent.unanswered_since is not None and now - agent.unanswered_since > ANSWER_TIMEOUT_SECONDS
+    return (
+        agent.unanswered_since is not None
+        and now - agent.unanswered_since > ANSWER_TIMEOUT_SECONDS
+    )
 
 
 def route_datagram(
@@ -129,7 +137,10 @@
 
 
 def _place_flow(
-    router: Router, configuration: Configuration, packet: PacketHeader, event: CallerDatagram
+    router: Router,
+    configuration: Configuration,
+    packet: PacketHeader,
+    event: CallerDatagram,
 ) -> tuple[Router, list[Effect]]:
     caller = CallerKey(event.service, event.caller.host)
     router, admitted = _take_tokens(router, caller, event.now)
@@ -167,7 +178,11 @@
     """Return the first other candidate that can take a flow."""
     for upstream in others:
         agent = router.agents.get(upstream.number)
-        if agent is not None and agent.last_heard_at > 0.0 and can_accept_flow(agent.load):
+        if (
+            agent is not None
+            and agent.last_heard_at > 0.0
+            and can_accept_flow(agent.load)
+        ):
             age = max(now - agent.last_heard_at, 0.0)
             return Candidate(upstream=upstream.number, load=agent.load, age=age)
     return None
@@ -180,8 +195,12 @@
 
 def _take_tokens(router: Router, caller: CallerKey, now: float) -> tuple[Router, bool]:
     limits = router.limits
-    bucket, admitted = take_token(router.service_buckets.get(caller.service), limits.per_service, now)
-    router = evolve(router, service_buckets=router.service_buckets.set(caller.service, bucket))
+    bucket, admitted = take_token(
+        router.service_buckets.get(caller.service), limits.per_service, now
+    )
+    router = evolve(
+        router, service_buckets=router.service_buckets.set(caller.service, bucket)
+    )
     if not admitted:
         return router, False
     callers = router.caller_buckets
--- a/shedsill/http3/_runtime/agent.py
+++ b/shedsill/http3/_runtime/agent.py
@@ -21,21 +21,21 @@
 from shedsill.http3._effects import (
     AbortUpstreamRequest,
     AnnounceDrain,
-    SendAnswer,
     ApplyConfiguration,
-    ResetAnswerStream,
     DeclineForwardedRequest,
     Deliver,
     Effect,
-    SendHandover,
-    MoveReplyPath,
-    WriteLog,
     ForwardRequest,
-    RefuseRequest,
+    MoveReplyPath,
     RefuseFlow,
+    RefuseRequest,
     RequireRetry,
+    ResetAnswerStream,
     ResetFlow,
+    SendAnswer,
+    SendHandover,
     SendUpstreamRequest,
+    WriteLog,
 )
 from shedsill.http3._events import (
     FlowClosed,
@@ -67,7 +67,11 @@
 from shedsill.http3._runtime.control import ControlServer
 from shedsill.http3._runtime.driver import Driver
 from shedsill.http3._runtime.exchange import Body, Exchange
-from shedsill.http3._runtime.flows import KEEPALIVE_INTERVAL_SECONDS, FlowCallbacks, FlowTable
+from shedsill.http3._runtime.flows import (
+    KEEPALIVE_INTERVAL_SECONDS,
+    FlowCallbacks,
+    FlowTable,
+)
 from shedsill.http3._runtime.log import EventLog
 from shedsill.http3._runtime.peers import (
     HTTP_GONE,
@@ -76,7 +80,12 @@
     PeerClient,
 )
 from shedsill.http3._runtime.quic import ConnectionIdGenerator, make_quic_configuration
-from shedsill.http3._runtime.upstream import FailedCall, RelayedAnswer, UpstreamClient, BufferedAnswer
+from shedsill.http3._runtime.upstream import (
+    BufferedAnswer,
+    FailedCall,
+    RelayedAnswer,
+    UpstreamClient,
+)
 
 LOAD_POLL_SECONDS = 0.2
 NONCE_BYTES = 6
@@ -133,7 +142,9 @@
     def begin(self, status: int, headers: tuple[Header, ...]) -> None:
         """Send the head."""
         agent = self._agent
-        agent.dispatch(UpstreamAnswerStarted(request=self._exchange.number, now=agent.now))
+        agent.dispatch(
+            UpstreamAnswerStarted(request=self._exchange.number, now=agent.now)
+        )
         extra = make_outcome_headers(RequestOutcome.DONE, self._ticket)
         agent.flow_table.send_head(self._exchange, status, (*headers, *extra))
 
@@ -243,7 +254,9 @@
 
     async def on_start(self) -> None:
         """Prepare QUIC and the upstream client."""
-        id_generator = ConnectionIdGenerator(generate=self._generate_id, make_reset_token=self.keys.make_reset_token)
+        id_generator = ConnectionIdGenerator(
+            generate=self._generate_id, make_reset_token=self.keys.make_reset_token
+        )
         callbacks = FlowCallbacks(
             send_datagram=self._send_to_caller,
             on_opened=lambda flow: self.dispatch(FlowOpened(flow=flow, now=self.now)),
@@ -300,7 +313,9 @@
         state = self.node_state
         route = Route(state.upstream, state.service, state.incarnation)
         epoch = state.node.configuration.key_epoch
-        return self.keys.make_connection_id(route, epoch=epoch, nonce=os.urandom(NONCE_BYTES))
+        return self.keys.make_connection_id(
+            route, epoch=epoch, nonce=os.urandom(NONCE_BYTES)
+        )
 
     def _send_to_caller(
         self, caller: Address, datagram: bytes, balancer: Address
@@ -316,10 +331,14 @@
         )
         self.send_envelope(balancer, encode_frame(self.keys, frame))
 
-    def _reset_unknown_flow(self, caller: Address, datagram: bytes, balancer: Address) -> None:
+    def _reset_unknown_flow(
+        self, caller: Address, datagram: bytes, balancer: Address
+    ) -> None:
         packet = read_packet_header(datagram)
         if packet is not None:
-            self.flow_table.send_stateless_reset(caller, packet.cid, len(datagram), balancer)
+            self.flow_table.send_stateless_reset(
+                caller, packet.cid, len(datagram), balancer
+            )
 
     def _log_flow_failure(self, flow: int, error: Exception) -> None:
         fields = {"flow": flow, "error": f"{type(error).__name__}: {error}"}
@@ -372,7 +391,10 @@
             case ForwardRequest():
                 exchange.task = self.start_task(self._forward_request(exchange, effect))
             case DeclineForwardedRequest():
-                if exchange.reply_future is not None and not exchange.reply_future.done():
+                if (
+                    exchange.reply_future is not None
+                    and not exchange.reply_future.done()
+                ):
                     exchange.reply_future.set_result(None)
                 self._drop(exchange)
 
@@ -398,10 +420,14 @@
         kept = tuple(header for header in answer.headers if header.name not in ours)
         if exchange.reply_future is not None:
             if not exchange.reply_future.done():
-                exchange.reply_future.set_result(evolve(answer, headers=(*kept, *extra)))
+                exchange.reply_future.set_result(
+                    evolve(answer, headers=(*kept, *extra))
+                )
         else:
             empty = not answer.body
-            self.flow_table.send_head(exchange, answer.status, (*kept, *extra), ended=empty)
+            self.flow_table.send_head(
+                exchange, answer.status, (*kept, *extra), ended=empty
+            )
             if not empty:
                 self.flow_table.send_body(exchange, answer.body, ended=True)
             self.flow_table.drop_exchange(exchange)
@@ -436,7 +462,9 @@
             )
         )
 
-    async def _send_upstream(self, exchange: Exchange, effect: SendUpstreamRequest) -> None:
+    async def _send_upstream(
+        self, exchange: Exchange, effect: SendUpstreamRequest
+    ) -> None:
         result = await self._upstream.send(
             exchange,
             buffered=effect.buffer_answer or exchange.reply_future is not None,
@@ -473,7 +501,9 @@
                     )
                 )
 
-    async def _forward_request(self, exchange: Exchange, effect: ForwardRequest) -> None:
+    async def _forward_request(
+        self, exchange: Exchange, effect: ForwardRequest
+    ) -> None:
         request = PeerRequest(
             service=self.node_state.service,
             upstream=effect.upstream,
--- a/shedsill/http3/_runtime/driver.py
+++ b/shedsill/http3/_runtime/driver.py
@@ -22,9 +22,9 @@
     CallPlatform,
     Effect,
     Exit,
-    WriteLog,
     PullConfiguration,
     Send,
+    WriteLog,
 )
 from shedsill.http3._events import (
     ConfigurationOffered,
--- a/shedsill/http3/_runtime/exchange.py
+++ b/shedsill/http3/_runtime/exchange.py
@@ -118,7 +118,11 @@
     def make_fingerprint(self) -> bytes:
         """Return a digest of method, path and body."""
         digest = hashlib.blake2b(digest_size=16)
-        for part in (self.method.encode(), self.path.encode(), self.body.get_buffered()):
+        for part in (
+            self.method.encode(),
+            self.path.encode(),
+            self.body.get_buffered(),
+        ):
             digest.update(len(part).to_bytes(8, "big"))
             digest.update(part)
         return digest.digest()
--- a/shedsill/http3/_runtime/flows.py
+++ b/shedsill/http3/_runtime/flows.py
@@ -28,7 +28,12 @@
 from shedsill.http3._effects import Deliver, RequireRetry
 from shedsill.http3._keys import CONNECTION_ID_LENGTH
 from shedsill.http3._packets import MIN_INITIAL_BYTES
-from shedsill.http3._runtime.exchange import Body, Exchange, encode_latin1, split_headers
+from shedsill.http3._runtime.exchange import (
+    Body,
+    Exchange,
+    encode_latin1,
+    split_headers,
+)
 from shedsill.http3._runtime.quic import (
     ConnectionIdGenerator,
     RoutedConnection,
@@ -96,7 +101,9 @@
 class FlowTable:
     """All connections of one agent."""
 
-    def __init__(self, id_generator: ConnectionIdGenerator, callbacks: FlowCallbacks) -> None:
+    def __init__(
+        self, id_generator: ConnectionIdGenerator, callbacks: FlowCallbacks
+    ) -> None:
         self._id_generator = id_generator
         self._callbacks = callbacks
         self._loop = asyncio.get_running_loop()
@@ -138,7 +145,9 @@
         if configuration is None:
             return None
         if header.packet_type != QuicPacketType.INITIAL:
-            self._callbacks.on_unknown_flow(effect.caller, effect.datagram, effect.reply_to)
+            self._callbacks.on_unknown_flow(
+                effect.caller, effect.datagram, effect.reply_to
+            )
             return None
         if header.version not in (
             QuicProtocolVersion.VERSION_1,
@@ -224,7 +233,9 @@
         """Answer an Initial with a refusal."""
         self._callbacks.send_datagram(caller, make_refusal_packet(datagram), reply_to)
 
-    def send_stateless_reset(self, caller: Address, cid: bytes, size: int, reply_to: Address) -> None:
+    def send_stateless_reset(
+        self, caller: Address, cid: bytes, size: int, reply_to: Address
+    ) -> None:
         """Answer a packet of an ended flow with a stateless reset."""
         token = self._id_generator.make_reset_token(cid)
         packet = make_stateless_reset(token, size=size, random_bytes=os.urandom)
@@ -307,7 +318,9 @@
         flow.quic.unread_bytes[stream_id] = 0
         self._receive_body(flow, stream_id, b"", event.stream_ended)
 
-    def _receive_body(self, flow: Flow, stream_id: int, data: bytes, ended: bool) -> None:
+    def _receive_body(
+        self, flow: Flow, stream_id: int, data: bytes, ended: bool
+    ) -> None:
         exchange = flow.exchanges.get(stream_id)
         if exchange is None:
             return
@@ -383,7 +396,8 @@
             return
         pairs = [(b":status", str(status).encode())]
         pairs += [
-            (encode_latin1(header.name), encode_latin1(header.value)) for header in headers
+            (encode_latin1(header.name), encode_latin1(header.value))
+            for header in headers
         ]
         with self._close_on_error(flow):
             flow.http.send_headers(exchange.stream, pairs, end_stream=ended)
--- a/shedsill/http3/_runtime/log.py
+++ b/shedsill/http3/_runtime/log.py
@@ -87,7 +87,9 @@
         definition = entry.event.value
         if not self._is_within_limit(entry.event, now):
             return
-        bound = logger.bind(event=definition.number, node=self.node, fields=entry.fields)
+        bound = logger.bind(
+            event=definition.number, node=self.node, fields=entry.fields
+        )
         bound.log(definition.level.value, definition.text)
 
     def count(self, event: LogEvent) -> int:
@@ -97,7 +99,9 @@
     def _is_within_limit(self, event: LogEvent, now: float) -> bool:
         limit = self._limits.setdefault(event, _RateLimit())
         limit.events_seen += 1
-        if event.value.level in SAMPLED_LEVELS and limit.events_seen % max(self.sample, 1):
+        if event.value.level in SAMPLED_LEVELS and limit.events_seen % max(
+            self.sample, 1
+        ):
             return False
         if int(now) != limit.window_second:
             limit.window_second = int(now)
--- a/shedsill/http3/_runtime/upstream.py
+++ b/shedsill/http3/_runtime/upstream.py
@@ -94,7 +94,9 @@
             connector=connector,
             auto_decompress=False,
             skip_auto_headers=SKIPPED_AUTO_HEADERS,
-            timeout=aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_SECONDS),
+            timeout=aiohttp.ClientTimeout(
+                total=None, sock_connect=CONNECT_TIMEOUT_SECONDS
+            ),
             cookie_jar=aiohttp.DummyCookieJar(),
         )
 
@@ -139,7 +141,9 @@
                 data=data or None,
                 allow_redirects=False,
             ) as response:
-                return await self._read(response, buffered=buffered, make_relay=make_relay)
+                return await self._read(
+                    response, buffered=buffered, make_relay=make_relay
+                )
         except aiohttp.ClientConnectorError as error:
             return FailedCall(sent=False, reason=str(error))
         except (TimeoutError, aiohttp.ClientError, OSError) as error:
@@ -153,7 +157,9 @@
         make_relay: Callable[[], Relay],
     ) -> UpstreamResult:
         headers = tuple(
-            Header(name=decode_aiohttp_text(name.lower()), value=decode_aiohttp_text(value))
+            Header(
+                name=decode_aiohttp_text(name.lower()), value=decode_aiohttp_text(value)
+            )
             for name, value in response.headers.items()
             if name.lower() not in HOP_BY_HOP_HEADERS
         )
--- a/shedsill/http3/_status.py
+++ b/shedsill/http3/_status.py
@@ -60,7 +60,9 @@
     return evolve(writer, due=now + STATUS_WRITE_INTERVAL_SECONDS), [effect]
 
 
-def record_status_outcome(writer: StatusWriter, event: PlatformAnswered) -> StatusWriter:
+def record_status_outcome(
+    writer: StatusWriter, event: PlatformAnswered
+) -> StatusWriter:
     """Note what became of a write."""
     match event.outcome:
         case Stored(version=version):
--- a/shedsill/platform/packets.py
+++ b/shedsill/platform/packets.py
@@ -144,7 +144,9 @@
     if route is None:
         return EMPTY_ECHO
     times = (route.timeout, route.objective)
-    return ROUTE_TIMES.pack(*(min(round(seconds * 1000), MAX_TIME_MILLISECONDS) for seconds in times))
+    return ROUTE_TIMES.pack(
+        *(min(round(seconds * 1000), MAX_TIME_MILLISECONDS) for seconds in times)
+    )
 
 
 def _decode_numbers(data: bytes) -> tuple[int, int, int]:
--- a/shedsill/platform/settings.py
+++ b/shedsill/platform/settings.py
@@ -168,4 +168,6 @@
 
 def _read_metrics_address(host: str) -> Address | None:
     port = os.environ.get(METRICS_PORT_VARIABLE, "")
-    return parse_address(f"{host}:{port}", field=METRICS_PORT_VARIABLE) if port else None
+    return (
+        parse_address(f"{host}:{port}", field=METRICS_PORT_VARIABLE) if port else None
+    )
--- a/shedsill/platform/store.py
+++ b/shedsill/platform/store.py
@@ -184,7 +184,9 @@
             target = f"{target}/{call.name}"
             method = "PUT"
         body = msgspec.json.encode({"meta": meta, "spec": call.value, "status": None})
-        return _decode_write_outcome(call.kind, await self._request(method, target, body))
+        return _decode_write_outcome(
+            call.kind, await self._request(method, target, body)
+        )
 
     async def _delete(self, call: Delete) -> Outcome:
         target = f"{OBJECTS_PATH}/{call.kind}/{call.name}?rev={call.expected}"
--- a/shedsill/testing/datagrams.py
+++ b/shedsill/testing/datagrams.py
@@ -24,11 +24,11 @@
 from shedsill.datagram._effects import (
     CheckUpstream,
     Effect,
-    RemovePeerReport,
     ForwardPacket,
     PullTable,
     ReadCheckpoint,
     ReadReports,
+    RemovePeerReport,
     RemoveReport,
     ResetFlow,
     SendMessage,
--- a/shedsill/testing/world.py
+++ b/shedsill/testing/world.py
@@ -562,7 +562,9 @@
                 )
             case effects.PullConfiguration(peer=peer):
                 self.messages.append(PullMessage(process.name, peer))
-            case effects.SendHandover(peer=peer, upstream=upstream, transfers=transfers):
+            case effects.SendHandover(
+                peer=peer, upstream=upstream, transfers=transfers
+            ):
                 call = HandoverCall(process.name, peer, upstream, transfers)
                 self.messages.append(call)
             case effects.Exit():
@@ -594,7 +596,9 @@
                 self._cancel(upstream, aborted)
             case effects.SendAnswer(answer=answer, ticket=ticket, outcome=outcome):
                 self._answer(process, exchange, outcome, answer.body, ticket, 0)
-            case effects.RefuseRequest(outcome=outcome, ticket=ticket, retry_after=pause):
+            case effects.RefuseRequest(
+                outcome=outcome, ticket=ticket, retry_after=pause
+            ):
                 self._answer(process, exchange, outcome, b"", ticket, pause)
             case effects.ResetAnswerStream():
                 process.exchanges.pop(exchange.number, None)
--- a/shedsill/tests/test_acceptance.py
+++ b/shedsill/tests/test_acceptance.py
@@ -27,7 +27,7 @@
     Configuration,
     UpstreamState,
 )
-from shedsill.http3._node import Node, HeartbeatPayload, send_heartbeats
+from shedsill.http3._node import HeartbeatPayload, Node, send_heartbeats
 
 ADDRESS = Address("127.0.0.1", 7000)
 UPSTREAM = AcceptedUpstream(
--- a/shedsill/tests/test_admission.py
+++ b/shedsill/tests/test_admission.py
@@ -8,8 +8,8 @@
 
 from shedsill.http3._admission import (
     Admission,
-    AdmissionSettings,
     AdmissionDecision,
+    AdmissionSettings,
     BreakerState,
     Request,
     choose_next_request,
@@ -17,10 +17,10 @@
     decide_admission,
     drop_request,
     get_retry_after,
+    queue_request,
     record_failure,
     record_success,
     record_upstream_load,
-    queue_request,
     start_request,
     take_retry,
     update_breaker,
@@ -80,13 +80,18 @@
     number = 3
     while True:
         request = make_request(number)
-        if decide_admission(admission, request, 2, 0.0).decision != AdmissionDecision.QUEUE:
+        if (
+            decide_admission(admission, request, 2, 0.0).decision
+            != AdmissionDecision.QUEUE
+        ):
             break
         admission = queue_request(admission, request)
         number += 1
     assert len(admission.queue) == 4
     other = make_request(99, UPLOAD)
-    assert decide_admission(admission, other, 2, 0.0).decision == AdmissionDecision.QUEUE
+    assert (
+        decide_admission(admission, other, 2, 0.0).decision == AdmissionDecision.QUEUE
+    )
 
 
 def test_class_with_least_at_work_goes_first() -> None:
@@ -129,7 +134,10 @@
     for _ in range(3):
         admission = record_failure(admission, 0.0)
     verdict = decide_admission(admission, make_request(1), 1, 1.0)
-    assert (verdict.decision, verdict.reason) == (AdmissionDecision.REFUSE, "upstream fails")
+    assert (verdict.decision, verdict.reason) == (
+        AdmissionDecision.REFUSE,
+        "upstream fails",
+    )
     admission = update_breaker(admission, 2.0)
     assert admission.breaker.state == BreakerState.HALF_OPEN
     assert count_free_slots(admission, 2.0) == 1
--- a/shedsill/tests/test_checkpoint_store.py
+++ b/shedsill/tests/test_checkpoint_store.py
@@ -39,7 +39,9 @@
         self.ages.append(age)
 
     def make_store(self, platform) -> CheckpointStore:
-        return CheckpointStore(platform, write_log=self.notes.append, handle_checkpoint=self.take)
+        return CheckpointStore(
+            platform, write_log=self.notes.append, handle_checkpoint=self.take
+        )
 
 
 def test_what_was_written_is_read_by_another_run() -> None:
--- a/shedsill/tests/test_datagram_backlog.py
+++ b/shedsill/tests/test_datagram_backlog.py
@@ -10,8 +10,8 @@
     Backlog,
     Forecast,
     QueuedRequest,
-    choose_next_request,
     add_request,
+    choose_next_request,
 )
 
 SERVICE = 0.05
--- a/shedsill/tests/test_datagram_bounds.py
+++ b/shedsill/tests/test_datagram_bounds.py
@@ -49,19 +49,32 @@
 
     The collector watches again, and the others read the table from it.
     """
-    noticed = balancer.COLLECTOR_WATCH_TIMEOUT_SECONDS + WATCH_MARGIN_SECONDS + balancer.RETRY_BACKOFF.initial_delay
+    noticed = (
+        balancer.COLLECTOR_WATCH_TIMEOUT_SECONDS
+        + WATCH_MARGIN_SECONDS
+        + balancer.RETRY_BACKOFF.initial_delay
+    )
     content = len(compress_table(make_table(LARGE_TABLE)))
     spread = TABLE_PULL_DELAY_SECONDS + TICK_INTERVAL_SECONDS + content / THIN_LINK
     assert noticed + TRANSFER + spread < CONTACT
 
 
 def test_a_call_on_a_silent_connection_is_given_up_in_time() -> None:
-    delay = max(USER_TIMEOUT_MILLISECONDS / 1000, CALL_TIMEOUT_SECONDS) + balancer.RETRY_BACKOFF.initial_delay + TRANSFER
+    delay = (
+        max(USER_TIMEOUT_MILLISECONDS / 1000, CALL_TIMEOUT_SECONDS)
+        + balancer.RETRY_BACKOFF.initial_delay
+        + TRANSFER
+    )
     assert delay < CONTACT
 
 
 def test_a_change_made_in_an_outage_is_read_in_time_after_it() -> None:
-    delay = CALL_TIMEOUT_SECONDS + balancer.RETRY_BACKOFF.max_delay + STORE_ANSWER + TRANSFER
+    delay = (
+        CALL_TIMEOUT_SECONDS
+        + balancer.RETRY_BACKOFF.max_delay
+        + STORE_ANSWER
+        + TRANSFER
+    )
     assert delay < CONFIGURATION
 
 
--- a/shedsill/tests/test_datagram_flows.py
+++ b/shedsill/tests/test_datagram_flows.py
@@ -7,9 +7,13 @@
 
 from shedsill._catalogue import LogEvent
 from shedsill.datagram._events import ReportsListed
-from shedsill.datagram._messages import Locate, Roster, UpstreamState
-from shedsill.datagram._failure_detection import LOST_AFTER_SECONDS, RETIRED_RETENTION_SECONDS, STOPPING_LOST_AFTER_SECONDS
+from shedsill.datagram._failure_detection import (
+    LOST_AFTER_SECONDS,
+    RETIRED_RETENTION_SECONDS,
+    STOPPING_LOST_AFTER_SECONDS,
+)
 from shedsill.datagram._membership import TABLE_PULL_DELAY_SECONDS
+from shedsill.datagram._messages import Locate, Roster, UpstreamState
 from shedsill.datagram._search_state import LOCATE_TIMEOUT_SECONDS
 from shedsill.testing.datagrams import World
 from shedsill.testing.flow_peers import Caller
--- a/shedsill/tests/test_datagram_heartbeats.py
+++ b/shedsill/tests/test_datagram_heartbeats.py
@@ -40,7 +40,9 @@
         state.report, boot="", state=UpstreamState.UNKNOWN, incarnation=7
     )
     beat(state, "i-2", 5, 1.0)
-    state.flows[b"f"] = AgentFlow(phase=Phase.OPEN, last_packet_at=1.0, balancer="10.0.0.1")
+    state.flows[b"f"] = AgentFlow(
+        phase=Phase.OPEN, last_packet_at=1.0, balancer="10.0.0.1"
+    )
     return state
 
 
@@ -151,10 +153,19 @@
     dead = agent.flows[b"f"]
     dead.pending = dead.running = True
     agent.flows[packet.flow] = AgentFlow(
-        phase=Phase.OPEN, last_packet_at=1.5, balancer="10.0.0.1", taken_at=1.5, pending=True
+        phase=Phase.OPEN,
+        last_packet_at=1.5,
+        balancer="10.0.0.1",
+        taken_at=1.5,
+        pending=True,
     )
     agent.backlog.requests[packet.flow] = QueuedRequest(
-        packets=[packet], queued_at=1.5, requested_at=1.5, urgency=0, objective_at=9.0, deadline_at=9.0
+        packets=[packet],
+        queued_at=1.5,
+        requested_at=1.5,
+        urgency=0,
+        objective_at=9.0,
+        deadline_at=9.0,
     )
     agent.busy, agent.running = 2, 1
     effects = beat(agent, "i-3", FIRST_SERIAL, 2.0)
--- a/shedsill/tests/test_datagram_overload.py
+++ b/shedsill/tests/test_datagram_overload.py
@@ -8,9 +8,9 @@
 from shedsill.datagram import _slots
 from shedsill.datagram._agent_state import AgentState
 from shedsill.datagram._backlog import QueuedRequest, add_request
+from shedsill.datagram._flow_placement import MAX_OVERLOADED_OFFERS
 from shedsill.datagram._health import record_answer
 from shedsill.datagram._messages import Load
-from shedsill.datagram._flow_placement import MAX_OVERLOADED_OFFERS
 from shedsill.datagram._packet import SYN, Packet
 from shedsill.testing.agents import make_agent_state
 from shedsill.testing.datagrams import World
--- a/shedsill/tests/test_datagram_pauses.py
+++ b/shedsill/tests/test_datagram_pauses.py
@@ -37,10 +37,19 @@
         request_sent_at=10.0,
     )
     state.flows[b"held"] = AgentFlow(
-        phase=Phase.OPEN, last_packet_at=10.0, balancer="10.0.0.1", taken_at=9.0, pending=True
+        phase=Phase.OPEN,
+        last_packet_at=10.0,
+        balancer="10.0.0.1",
+        taken_at=9.0,
+        pending=True,
     )
     state.backlog.requests[b"held"] = QueuedRequest(
-        packets=[], queued_at=10.0, requested_at=10.0, urgency=0, objective_at=12.0, deadline_at=99.0
+        packets=[],
+        queued_at=10.0,
+        requested_at=10.0,
+        urgency=0,
+        objective_at=12.0,
+        deadline_at=99.0,
     )
     state.busy, state.running = 2, 1
     return state
--- a/shedsill/tests/test_datagram_reading.py
+++ b/shedsill/tests/test_datagram_reading.py
@@ -69,7 +69,7 @@
 
 @pytest.mark.parametrize("store_up", [True, False])
 def test_a_flow_that_nobody_holds_is_reset_soon(world: World, store_up: bool) -> None:
-    """Callers wait for a reading, or for `READ_TIMEOUT_SECONDS` where the store is away."""
+    """Callers wait for a read, or `READ_TIMEOUT_SECONDS` where the store is away."""
     caller = world.call("dispatcher", B1, requests=LONG)
     world.run(3.0)
     world.store_up = store_up
@@ -176,7 +176,11 @@
     async def read() -> list:
         outcomes = []
         changes = watch_changes(
-            platform, "k", sleep=asyncio.sleep, get_timeout=lambda: 30.0, delay_next_watch=rest
+            platform,
+            "k",
+            sleep=asyncio.sleep,
+            get_timeout=lambda: 30.0,
+            delay_next_watch=rest,
         )
         async for outcome in changes:
             outcomes.append(outcome)
--- a/shedsill/tests/test_datagram_searches.py
+++ b/shedsill/tests/test_datagram_searches.py
@@ -21,7 +21,11 @@
 NEAR = ("10.1.0.1", "10.1.0.2")
 FAR = ("10.2.0.1", "10.2.0.2", "10.2.0.3")
 LONG = 1000
-GIVEN_UP_AFTER = _failure_detection.LOST_AFTER_SECONDS + 2 * _failure_detection.PROBE_INTERVAL_SECONDS + 0.3
+GIVEN_UP_AFTER = (
+    _failure_detection.LOST_AFTER_SECONDS
+    + 2 * _failure_detection.PROBE_INTERVAL_SECONDS
+    + 0.3
+)
 """Seconds after which an agent that is gone delays no caller any more."""
 
 
@@ -158,5 +162,8 @@
 ) -> None:
     """Nothing at this balancer depends on it; it is asked because it is leaving."""
     leave(seeded, FAR[0])
-    seeded.run(_failure_detection.IDLE_BEFORE_PROBE_SECONDS + _failure_detection.LOST_AFTER_SECONDS / 2)
+    seeded.run(
+        _failure_detection.IDLE_BEFORE_PROBE_SECONDS
+        + _failure_detection.LOST_AFTER_SECONDS / 2
+    )
     assert seeded.nodes[B2].nodes.upstreams[FAR[0]].lost
--- a/shedsill/tests/test_datagram_selection.py
+++ b/shedsill/tests/test_datagram_selection.py
@@ -5,8 +5,8 @@
 from msgspec.structs import replace
 
 from shedsill.datagram._health import (
-    FIRST_AVOIDANCE_SECONDS,
     AVOIDANCE_RESET_SECONDS,
+    FIRST_AVOIDANCE_SECONDS,
     MAX_AVOIDANCE_SECONDS,
     Health,
     get_avoidance_left,
--- a/shedsill/tests/test_datagram_slots.py
+++ b/shedsill/tests/test_datagram_slots.py
@@ -6,7 +6,10 @@
 from msgspec.structs import replace
 
 from shedsill.datagram import _slots
-from shedsill.datagram._agent_packets import handle_forwarded_packet, handle_upstream_packet
+from shedsill.datagram._agent_packets import (
+    handle_forwarded_packet,
+    handle_upstream_packet,
+)
 from shedsill.datagram._agent_state import AgentState, build_load
 from shedsill.datagram._effects import Effect, ObserveLatency, SendToUpstream
 from shedsill.datagram._events import (
--- a/shedsill/tests/test_datagram_unheard.py
+++ b/shedsill/tests/test_datagram_unheard.py
@@ -12,8 +12,8 @@
 
 from shedsill._catalogue import LogEvent
 from shedsill.datagram._events import ReportsListed
-from shedsill.datagram._messages import Announcement
 from shedsill.datagram._failure_detection import LOST_AFTER_SECONDS
+from shedsill.datagram._messages import Announcement
 from shedsill.testing.datagrams import World
 from shedsill.testing.flow_peers import Caller
 
--- a/shedsill/tests/test_guards.py
+++ b/shedsill/tests/test_guards.py
@@ -20,9 +20,9 @@
     _flows,
     _node,
     _outcomes,
+    _request_completion,
     _requests,
     _routing,
-    _request_completion,
 )
 from shedsill.http3._acceptor import Acceptor
 from shedsill.http3._answers import RequestOutcome
--- a/shedsill/tests/test_outcomes.py
+++ b/shedsill/tests/test_outcomes.py
@@ -9,17 +9,17 @@
 from shedsill.http3._keys import KeyRing
 from shedsill.http3._outcomes import (
     Done,
-    OutcomeTable,
-    MayHaveRun,
     IssuerKey,
+    MayHaveRun,
+    OutcomeTable,
     Refused,
     Running,
     drop_expired_records,
     find_record,
     is_full,
     make_transfers,
-    put_record,
     merge_transfer,
+    put_record,
 )
 from shedsill.http3._peers import Handover, decode_handover, encode_handover
 
@@ -41,7 +41,9 @@
     assert (table.record_count, table.recorded_bytes) == (1, 50)
 
 
-@pytest.mark.parametrize(("name", "limit"), [("MAX_RECORDS", 2), ("MAX_RECORDED_BYTES", 60)])
+@pytest.mark.parametrize(
+    ("name", "limit"), [("MAX_RECORDS", 2), ("MAX_RECORDED_BYTES", 60)]
+)
 def test_record_is_full_by_number_or_by_octets(
     name: str, limit: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -76,7 +78,9 @@
 
 
 def test_successor_does_not_take_back_what_it_knows_better() -> None:
-    table = put_record(OutcomeTable(), KEY, 1, MayHaveRun(fingerprint=b"f", expires_at=110.0))
+    table = put_record(
+        OutcomeTable(), KEY, 1, MayHaveRun(fingerprint=b"f", expires_at=110.0)
+    )
     (transfer,) = make_transfers(table, 100.0)
     taken = merge_transfer(OutcomeTable(), transfer, 5.0)
     taken = put_record(taken, KEY, 2, make_done(5))
--- a/shedsill/tests/test_placement.py
+++ b/shedsill/tests/test_placement.py
@@ -9,8 +9,8 @@
     HashOnly,
     Policy,
     TwoCandidates,
-    is_alternate_preferred,
     get_utilization,
+    is_alternate_preferred,
 )
 
 LIMIT = 100
@@ -53,4 +53,6 @@
     own = make_load(5)
     assert not is_alternate_preferred(TwoCandidates(), own, alternate)
     assert is_alternate_preferred(TwoCandidates(), own, alternate, slow_start_share=0.1)
-    assert get_utilization(own, slow_start_share=0.0) == get_utilization(own, slow_start_share=0.1)
+    assert get_utilization(own, slow_start_share=0.0) == get_utilization(
+        own, slow_start_share=0.1
+    )
--- a/shedsill/tests/test_quic.py
+++ b/shedsill/tests/test_quic.py
@@ -55,7 +55,9 @@
     configuration.certificate = loaded.certificate
     configuration.private_key = loaded.private_key
     server = RoutedConnection(
-        id_generator=ConnectionIdGenerator(generate=generate_id, make_reset_token=KEYS.make_reset_token),
+        id_generator=ConnectionIdGenerator(
+            generate=generate_id, make_reset_token=KEYS.make_reset_token
+        ),
         configuration=configuration,
         original_destination_connection_id=client.original_destination_connection_id,
     )
@@ -82,7 +84,9 @@
         assert entry.stateless_reset_token == KEYS.make_reset_token(entry.cid)
 
 
-def run_connection(client: QuicConnection, server: RoutedConnection, start: float) -> int:
+def run_connection(
+    client: QuicConnection, server: RoutedConnection, start: float
+) -> int:
     """Let both sides talk for a while; return the octets that the server got."""
     received = 0
     for step in range(1_500):
--- a/shedsill/tests/test_routing.py
+++ b/shedsill/tests/test_routing.py
@@ -9,9 +9,9 @@
 from shedsill._addresses import Address
 from shedsill._catalogue import LogEvent
 from shedsill._limits import Rate
-from shedsill.http3._configuration_rules import AcceptanceInputs, accept_resources
 from shedsill.http3._configuration import Configuration
-from shedsill.http3._effects import Effect, WriteLog, Send
+from shedsill.http3._configuration_rules import AcceptanceInputs, accept_resources
+from shedsill.http3._effects import Effect, Send, WriteLog
 from shedsill.http3._events import CallerDatagram
 from shedsill.http3._frames import Load, ToUpstream
 from shedsill.http3._keys import KeyRing, Route
@@ -59,7 +59,11 @@
 
 def make_short(upstream: int, service: int, *, keys: KeyRing = KEYS, epoch=1) -> bytes:
     route = Route(upstream, service, 5)
-    return bytes([0x40]) + keys.make_connection_id(route, epoch=epoch, nonce=bytes(6)) + bytes(40)
+    return (
+        bytes([0x40])
+        + keys.make_connection_id(route, epoch=epoch, nonce=bytes(6))
+        + bytes(40)
+    )
 
 
 def route(
@@ -159,7 +163,8 @@
 
 def test_one_caller_cannot_use_up_the_others_flows() -> None:
     limits = FlowLimits(
-        per_caller=Rate(per_second=1.0, burst=5.0), per_service=Rate(per_second=1.0, burst=50.0)
+        per_caller=Rate(per_second=1.0, burst=5.0),
+        per_service=Rate(per_second=1.0, burst=50.0),
     )
     router = Router(limits=limits)
     outcomes = []
@@ -175,7 +180,8 @@
 
 def test_flood_on_one_service_leaves_the_others_new_flows_alone() -> None:
     limits = FlowLimits(
-        per_caller=Rate(per_second=1.0, burst=9.0), per_service=Rate(per_second=1.0, burst=10.0)
+        per_caller=Rate(per_second=1.0, burst=9.0),
+        per_service=Rate(per_second=1.0, burst=10.0),
     )
     router = Router(limits=limits)
     for index in range(100):
@@ -193,7 +199,8 @@
 
 def test_limits_leave_open_flows_alone() -> None:
     limits = FlowLimits(
-        per_caller=Rate(per_second=1.0, burst=1.0), per_service=Rate(per_second=1.0, burst=1.0)
+        per_caller=Rate(per_second=1.0, burst=1.0),
+        per_service=Rate(per_second=1.0, burst=1.0),
     )
     router = Router(limits=limits)
     for _ in range(50):
--- a/shedsill/tests/test_silent_connections.py
+++ b/shedsill/tests/test_silent_connections.py
@@ -24,8 +24,15 @@
     Unavailable,
 )
 from shedsill.coordination.watch import watch_changes
-from shedsill.datagram._runtime.balancer import COLLECTOR_WATCH_TIMEOUT_SECONDS, RETRY_BACKOFF
-from shedsill.platform.store import CALL_TIMEOUT_SECONDS, WATCH_MARGIN_SECONDS, ObjectStore
+from shedsill.datagram._runtime.balancer import (
+    COLLECTOR_WATCH_TIMEOUT_SECONDS,
+    RETRY_BACKOFF,
+)
+from shedsill.platform.store import (
+    CALL_TIMEOUT_SECONDS,
+    WATCH_MARGIN_SECONDS,
+    ObjectStore,
+)
 
 KIND = "config"
 LIMIT = 4.0
@@ -120,13 +127,21 @@
 
 def test_the_collector_hears_of_a_change_over_a_new_connection() -> None:
     """Its watch waits with nothing to send; the bound is on what it waits for."""
-    noticed = COLLECTOR_WATCH_TIMEOUT_SECONDS + WATCH_MARGIN_SECONDS + RETRY_BACKOFF.initial_delay
+    noticed = (
+        COLLECTOR_WATCH_TIMEOUT_SECONDS
+        + WATCH_MARGIN_SECONDS
+        + RETRY_BACKOFF.initial_delay
+    )
     assert noticed < LIMIT
 
     async def scenario() -> None:
         stand_in, server, store = await start_store()
         outcomes = watch_changes(
-            store, KIND, sleep=asyncio.sleep, get_timeout=lambda: 0.1, backoff=RETRY_BACKOFF
+            store,
+            KIND,
+            sleep=asyncio.sleep,
+            get_timeout=lambda: 0.1,
+            backoff=RETRY_BACKOFF,
         )
         assert isinstance(await anext(outcomes), Listing)
         stand_in.silent = 1
