--- a/shedsill/datagram/_balancer.py
+++ b/shedsill/datagram/_balancer.py
@@ -1,7 +1,7 @@
-"""A balancer of opaque flows: packets, messages, timers and planned stop.
+"""Balancer for opaque flows: packets, messages, timers and planned stop.
 
-The state is changed in place: a copy for each packet would cost more than the
-packet.  Nothing else is touched; what has to be done comes back as effects.
+Handlers update the state in place, since copying it for each packet would be too
+expensive, and return the effects for the runtime to execute.
 """
 
 from __future__ import annotations
@@ -49,28 +49,27 @@
 from shedsill.datagram._process_pauses import measure_pause
 
 RESET_RETENTION_SECONDS = 2.0
-"""Seconds for which a reset flow is remembered, so that its packets that are
-still under way are answered in the same way and not searched for again."""
+"""Time for which a reset flow is kept, so that packets still in flight are answered
+with a reset and start no search."""
 
 CLOSED_FLOW_RETENTION_SECONDS = 3.0
-"""Seconds for which a flow is remembered after its caller has closed it; its
-last packets may be sent again."""
+"""Time for which a closed flow is kept, for retransmissions of its last packets."""
 
 STOP_IDLE_SECONDS = 1.0
-"""Seconds without packets from callers after which a planned stop ends."""
+"""Time without packets from callers after which a planned stop ends."""
 
 PEER_EXCHANGE_INTERVAL_SECONDS = 1.0
-"""Seconds between exchanges of table versions with another balancer."""
+"""Interval between exchanges of table versions with another balancer."""
 
 REPORTS_PER_MESSAGE = 6
-"""Reports in one message; about 170 octets each, so that they fit a packet."""
+"""Reports in one message; at about 170 bytes each they fit into a packet."""
 
 FLOW_SWEEP_INTERVAL_SECONDS = 0.25
-"""Seconds between looks at which agents hold flows of this balancer."""
+"""Interval between sweeps that expire idle flows."""
 
 
 def start(state: BalancerState, now: float) -> list[Effect]:
-    """Tell the seeds of this balancer, and ask them for the nodes they know."""
+    """Announce this balancer to its seeds and request the nodes they know."""
     state.started_at = state.last_tick_at = state.last_packet_at = now
     state.next_sync_at = now + _failure_detection.PROBE_INTERVAL_SECONDS
     state.checkpoints.next_at = now + _checkpoint_collection.CHECKPOINT_INTERVAL_SECONDS
@@ -82,7 +81,7 @@
 
 
 def handle_caller_packet(state: BalancerState, event: CallerPacket) -> list[Effect]:
-    """Decide where a caller's packet goes."""
+    """Forward a caller's packet, or start a search for its flow."""
     packet = event.packet
     state.last_packet_at = event.now
     route = state.table.routes.get(packet.endpoint)
@@ -112,7 +111,7 @@
         return []
     fields = {"flow": packet.flow, "table": state.table.version}
     if state.peers_ahead and not is_syn(packet):
-        # The newer table may have the route; the caller sends again in 0.2 s.
+        # The newer table may have the route; the caller retransmits after 0.2 s.
         return [WriteLog(event=LogEvent.TABLE_AWAITED, fields=fields)]
     state.flows.pop(packet.flow, None)
     state.pending_flows.pop(packet.flow, None)
@@ -123,19 +122,19 @@
 
 
 def handle_packets_drained(state: BalancerState, event: PacketsDrained) -> list[Effect]:
-    """Send the questions that came up since the sockets were last drained."""
+    """Send the `Locate` messages collected since the sockets were last drained."""
     return _flow_search.send_locates(state)
 
 
 def handle_message(
     state: BalancerState, event: MessageReceived, returned: Packet | None
 ) -> list[Effect]:
-    """Take in a message of an agent or another balancer.
+    """Handle a message from an agent or another balancer.
 
     Parameters
     ----------
     returned : Packet or None
-        The packet inside a `PacketReturned`.
+        Decoded packet of a `PacketReturned`.
     """
     view = state.nodes.upstreams.get(event.source)
     if view is None or view.silent_since is None:
@@ -219,10 +218,10 @@
         "upstream": source,
         "reason": returned.reason.value,
     }
-    note = WriteLog(event=LogEvent.PACKET_RETURNED, fields=fields)
+    log = WriteLog(event=LogEvent.PACKET_RETURNED, fields=fields)
     reason = returned.reason
     return [
-        note,
+        log,
         *_flow_placement.handle_returned_syn(state, packet, source, reason, now),
     ]
 
@@ -230,7 +229,7 @@
 def _handle_flow_denied(
     state: BalancerState, denied: FlowDenied, source: str, now: float
 ) -> list[Effect]:
-    """Correct what this balancer believed of a flow, and look for it."""
+    """Remove a flow that its agent does not hold, and search for it."""
     flow = state.flows.get(denied.flow)
     if flow is not None and source in flow.offered:
         del flow.offered[source]
@@ -243,15 +242,15 @@
         "upstream": source,
         "reason": denied.reason.value,
     }
-    note = WriteLog(event=LogEvent.FLOW_DENIED, fields=fields)
+    log = WriteLog(event=LogEvent.FLOW_DENIED, fields=fields)
     del state.flows[denied.flow]
     state.pending_flows.pop(denied.flow, None)
     ack = flow.caller_ack
-    return [note, *_flow_search.restart_search(state, denied.flow, source, ack, now)]
+    return [log, *_flow_search.restart_search(state, denied.flow, source, ack, now)]
 
 
 def handle_table(state: BalancerState, event: TableReceived) -> list[Effect]:
-    """Put a newer table in force, and tell the other balancers."""
+    """Apply a newer table and announce its version to the other balancers."""
     if not is_newer(event.table, state.table):
         return []
     fields = {
@@ -265,14 +264,14 @@
     state.report = replace(
         state.report, version=event.table.version, serial=state.report.serial + 1
     )
-    note = WriteLog(event=LogEvent.TABLE_APPLIED, fields=fields)
+    log = WriteLog(event=LogEvent.TABLE_APPLIED, fields=fields)
     announcement = Announcement(report=state.report)
     hosts = state.nodes.balancers
-    return [note, *(SendMessage(host, announcement) for host in hosts)]
+    return [log, *(SendMessage(host, announcement) for host in hosts)]
 
 
 def handle_tick(state: BalancerState, event: Tick) -> list[Effect]:
-    """Do what has become due."""
+    """Run the timers that are due."""
     now = event.now
     pause = measure_pause(state.last_tick_at, now)
     state.last_tick_at = now
@@ -292,26 +291,26 @@
 
 
 def _sweep_flows(state: BalancerState, now: float) -> list[Effect]:
-    """Forget flows that have rested for too long; note who holds the others.
+    """Expire idle flows and update the set of agents that hold the others.
 
-    The holders of doubted flows are asked again until they answer.
+    Unverified flows are requested from their agents until these answer.
     """
     if now < state.next_flow_sweep_at:
         return []
     state.next_flow_sweep_at = now + FLOW_SWEEP_INTERVAL_SECONDS
     limit = min(state.table.idle_timeout, state.flow_lifetime)
-    holding: set[str] = set()
+    hosts: set[str] = set()
     for key, flow in list(state.flows.items()):
-        rest = now - flow.last_packet_at
-        if rest > limit or (flow.closed and rest > CLOSED_FLOW_RETENTION_SECONDS):
+        idle = now - flow.last_packet_at
+        if idle > limit or (flow.closed and idle > CLOSED_FLOW_RETENTION_SECONDS):
             del state.flows[key]
             state.pending_flows.pop(key, None)
             continue
         if flow.unverified:
             _flow_search.verify_flow(state, key, flow)
         if flow.host and not flow.closed:
-            holding.add(flow.host)
-    state.hosts_with_flows = holding
+            hosts.add(flow.host)
+    state.hosts_with_flows = hosts
     for key, at in list(state.resets.items()):
         if now - at > RESET_RETENTION_SECONDS:
             del state.resets[key]
@@ -319,7 +318,7 @@
 
 
 def _exchange_with_peers(state: BalancerState, now: float) -> list[Effect]:
-    """Tell one other balancer the version in force, in case news was lost."""
+    """Announce the table version to one peer, in case an earlier message was lost."""
     if now < state.next_peer_exchange_at:
         return []
     state.next_peer_exchange_at = now + PEER_EXCHANGE_INTERVAL_SECONDS
@@ -334,7 +333,7 @@
 
 
 def handle_stop(state: BalancerState, event: StopRequested) -> list[Effect]:
-    """Begin a planned stop: not ready any more, but packets still move."""
+    """Start a planned stop: not ready any more, but still forwarding packets."""
     if state.stop_at is not None:
         return []
     state.stop_at = event.now + state.stop_limit
@@ -351,7 +350,7 @@
 def _finish_stop(state: BalancerState, now: float) -> list[Effect]:
     if state.stop_at is None:
         return []
-    quiet = now - state.last_packet_at >= STOP_IDLE_SECONDS
-    if not quiet and now < state.stop_at:
+    idle = now - state.last_packet_at >= STOP_IDLE_SECONDS
+    if not idle and now < state.stop_at:
         return []
     return [WriteLog(event=LogEvent.NODE_STOPPED), Exit()]
--- a/shedsill/datagram/_balancer_state.py
+++ b/shedsill/datagram/_balancer_state.py
@@ -1,4 +1,4 @@
-"""What a balancer keeps of nodes, flows and the forwarding table."""
+"""State of a balancer: known nodes, flows and the forwarding table."""
 
 from __future__ import annotations
 
@@ -18,35 +18,44 @@
 
 
 class BalancerFlow(Struct):
-    """A flow as one balancer remembers it.
+    """One balancer's record of a flow.
 
     Attributes
     ----------
+    service : str
+        Service that the flow belongs to.
+    last_packet_at : float
+        When the caller last sent a packet on the flow.
+    started_at : float
+        When this balancer first recorded the flow.
     host : str
-        The agent that holds it; empty until the caller has chosen one.
+        Agent that holds the flow; empty until the caller has chosen one.
     boot : str
-        The upstream's run when it took the flow, as its agent said; empty where
-        the agent did not know it yet.  A run that has just begun takes flows before
-        its agent knows of it, so that the one named may be the last one.
+        Upstream boot that accepted the flow, as reported by its agent; empty if
+        the agent did not know it.  A new boot may accept flows before its agent
+        has seen the first heartbeat, in which case this is the previous boot.
     unverified : bool
-        Whether its agent has told of another run since and is asked for it.
-    boot_by_host : dict of str to str
-        The same of each agent whose upstream has answered the opening packet.
+        Whether the agent is being asked if it still holds the flow, because its
+        upstream has been restarted or the flow comes from a checkpoint.
     offered : dict of str to int or None
-        Agents that were offered the opening packet, with the sequence number
-        that their upstream answered with.
+        Agents that were offered the SYN, with the initial sequence number of
+        their upstream's answer, or None while there is no answer.
+    boot_by_host : dict of str to str
+        Upstream boot reported by each agent that has answered the SYN.
     refused_by : set of str
-        Agents that have handed the opening packet back.
+        Agents that have returned the SYN.
     overloaded_count : int
-        How many of them because they could not answer in time.
+        Number of agents that returned the SYN because of overload.
     syn : Packet or None
-        The opening packet, until an upstream has answered.
+        The SYN, until an upstream has answered it.
+    offered_at : float
+        When the SYN was last offered.
     caller_ack : int
-        What the caller expects next, as its last packet said.
-    started_at : float
-        Since when it is known here.
+        Acknowledgement number of the caller's last packet.
+    closed : bool
+        Whether the caller has sent a FIN or RST.
     restored : bool
-        Whether it is known from a checkpoint only.
+        Whether the flow is known only from a checkpoint.
     """
 
     service: str
@@ -67,32 +76,46 @@
 
 
 class BalancerState(Struct):
-    """Everything that a balancer knows.
+    """Complete state of a balancer.
 
     Attributes
     ----------
     report : NodeReport
-        What it says of itself.
+        This balancer's own report.
+    seeds : tuple of str
+        Hosts of balancers named in the settings; some may be gone.
+    flow_lifetime, stop_limit : float
+        Settings of the node, in seconds.
+    flows : dict of bytes to BalancerFlow
+        Known flows by key.
     pending_flows : dict of bytes to BalancerFlow
-        The flows whose opening packet has no answer yet.
+        Flows whose SYN has not been answered.
+    searches : dict of bytes to Search
+        Flows whose agent is being located.
     started_at : float
         When this balancer started.
     isolated : bool
-        Whether this balancer hears from so few agents that it is to blame.
+        Whether this balancer is cut off from most agents.
     peers_synced : bool
-        Whether another balancer has told which nodes it knows.
+        Whether another balancer has sent the nodes that it knows.
     sync_attempts : int
-        How often others were asked for that, and
+        Number of rounds in which other balancers were asked for their nodes.
     next_sync_at : float
-        when they are next.
+        When the next such round is due.
     peers_ahead : dict of str to str
         Balancers that have a newer table, with their availability zones.
     behind_since : float
-        When the first of them said so, or was last asked for it.
+        When a newer table was first announced or last requested.
     resets : dict of bytes to float
-        Flows that were reset lately, and when.
+        Recently reset flows, with the time of their last packet.
     pending_locates : dict of str to list of bytes
-        Flows to ask each agent for when the sockets are drained.
+        Flows to ask each agent about once the sockets are drained.
+    hosts_with_flows : set of str
+        Agents that hold open flows of this balancer.
+    peer_exchanges : int
+        Counter that rotates exchanges and table pulls over the peers.
+    stop_at : float or None
+        When a planned stop ends at the latest; None if none is in progress.
     """
 
     report: NodeReport
@@ -125,7 +148,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether routers should send packets here."""
+        """Whether routers should send packets to this balancer."""
         usable = any(can_accept_flows(v) for v in self.nodes.upstreams.values())
         stopping = self.stop_at is not None
         return self.table.version > 0 and usable and not (stopping or self.isolated)
@@ -134,7 +157,7 @@
 def reset_flows(
     state: BalancerState, keys: list[bytes], host: str, reason: str
 ) -> list[Effect]:
-    """Reset flows whose upstream has ended, and log why."""
+    """Reset flows whose upstream has ended, and log the reason."""
     effects: list[Effect] = []
     for key in keys:
         flow = state.flows.pop(key)
--- a/shedsill/datagram/_flow_search.py
+++ b/shedsill/datagram/_flow_search.py
@@ -1,9 +1,9 @@
-"""How a balancer finds the upstream of a flow that it does not know.
+"""Search for the agent of a flow that a balancer does not know.
 
-It asks the agents of its own availability zone, where most of its flows are, and
-then all others, many flows in one message.  An agent that cannot tell is
-given one packet: its upstream takes it or bounces it.  Once every agent has
-denied the flow, no upstream holds it, and its caller is told so.
+Agents in the balancer's own availability zone are asked first, since they hold most
+of its flows, then all others; one `Locate` message asks for many flows.  An agent
+that is unsure is sent one packet of the flow, which its upstream accepts or bounces.
+A flow that all agents deny is reset.
 """
 
 from __future__ import annotations
@@ -26,12 +26,12 @@
 from shedsill.datagram._selection import list_preferred_hosts
 
 FLOWS_PER_LOCATE = 80
-"""Flows in one message; 14 octets each, so that question and answer fit a packet of
-1,200 octets however many flows are searched for after a restart."""
+"""Flows in one `Locate` message; at 14 bytes each, the message and its answer fit into
+a packet of 1,200 bytes."""
 
 
 def search_flow(state: BalancerState, packet: Packet, now: float) -> list[Effect]:
-    """Hold a packet of an unknown flow, and ask for the flow."""
+    """Buffer a packet of an unknown flow and search for the flow."""
     if packet.flags & RST:
         return []
     if packet.flow in state.resets:
@@ -58,15 +58,15 @@
 def _start_search(
     state: BalancerState, flow: bytes, caller_ack: int, now: float, excluded: str = ""
 ) -> Search:
-    """Begin to look for a flow, near agents first; octets between zones are dear."""
+    """Start a search with the agents in this zone; traffic between zones is costly."""
     views = state.nodes.upstreams
     hosts = [host for host in _list_live_hosts(state) if host != excluded]
-    near = [h for h in hosts if views[h].report.zone == state.report.zone]
-    first = near or hosts
-    later = set(hosts).difference(first)
-    search = _search_state.create_search(caller_ack, first, later, now)
+    zone_hosts = [h for h in hosts if views[h].report.zone == state.report.zone]
+    first_hosts = zone_hosts or hosts
+    other_hosts = set(hosts).difference(first_hosts)
+    search = _search_state.create_search(caller_ack, first_hosts, other_hosts, now)
     state.searches[flow] = search
-    _queue_locate(state, flow, first)
+    _queue_locate(state, flow, first_hosts)
     return search
 
 
@@ -93,10 +93,10 @@
 
 
 def _mark_silent_suspect(state: BalancerState, search: Search, now: float) -> None:
-    """Have agents that left a search unanswered asked whether they are alive.
+    """Mark agents that have not answered a search as suspect, so that they are probed.
 
-    Otherwise one that is gone, and that nothing else here depends on, would hold every
-    search up until callers give up.
+    Agents without flows of this balancer are not probed otherwise, and one that is gone
+    would block every search until its caller gives up.
     """
     for host in search.pending_hosts:
         view = state.nodes.upstreams.get(host)
@@ -107,7 +107,7 @@
 def handle_located(
     state: BalancerState, located: Located, host: str, now: float
 ) -> list[Effect]:
-    """Take in what an agent says of the flows that it was asked for."""
+    """Handle an agent's answer to `Locate`."""
     effects = _resolve_unverified(state, located, host)
     for flow in located.held:
         effects += _handle_found_flow(state, flow, host, located.boot, now)
@@ -126,11 +126,11 @@
 
 
 def verify_earlier_boot_flows(state: BalancerState, report: NodeReport) -> None:
-    """Ask an agent for the flows that it named under another run of its upstream.
+    """Ask an agent whether it still holds the flows of earlier boots of its upstream.
 
-    They died with that run, unless the new run took them before its agent knew of it.
-    The caller of a dead one may be waiting for an answer with nothing left to send,
-    so that no packet of its would tell it.
+    Those flows have ended, unless the new boot accepted them before its agent noticed
+    the restart.  The caller of an ended flow may only be waiting for an answer, so no
+    further packet from it would start a search.
     """
     for key, flow in state.flows.items():
         if flow.host == report.host and flow.boot not in ("", report.boot):
@@ -139,27 +139,27 @@
 
 
 def verify_flow(state: BalancerState, key: bytes, flow: BalancerFlow) -> None:
-    """Ask the agent that held a flow whether it holds it still."""
+    """Ask a flow's agent whether it still holds the flow."""
     _queue_locate(state, key, (flow.host,))
 
 
 def _resolve_unverified(
     state: BalancerState, located: Located, host: str
 ) -> list[Effect]:
-    """Reset the doubted flows that their agent does not hold; keep the others.
+    """Reset the unverified flows that their agent does not hold; keep the others.
 
-    No other agent can hold them: a flow stays where it was opened.
+    Flows never move between agents, so no other agent can hold them.
     """
     for key in (*located.held, *located.unsure):
         flow = state.flows.get(key)
         if flow is not None and flow.host == host:
             flow.unverified = False
-            # An agent that has just started may not know its upstream's run yet.
+            # A restarted agent may not know its upstream's boot yet.
             flow.boot = located.boot or flow.boot
-    # A flow that was asked for twice is named twice.
+    # A flow that was requested twice may be listed twice.
     unknown = dict.fromkeys(located.unknown)
-    dead = [key for key in unknown if _is_unverified(state, key, host)]
-    return reset_flows(state, dead, host, "upstream restarted")
+    ended = [key for key in unknown if _is_unverified(state, key, host)]
+    return reset_flows(state, ended, host, "upstream restarted")
 
 
 def _is_unverified(state: BalancerState, key: bytes, host: str) -> bool:
@@ -175,10 +175,10 @@
     if view is None or search is None:
         return []
     service = view.report.service
-    known = BalancerFlow(
+    record = BalancerFlow(
         service=service, last_packet_at=now, started_at=now, host=host, boot=boot
     )
-    state.flows[flow] = known
+    state.flows[flow] = record
     state.hosts_with_flows.add(host)
     fields = {
         "flow": flow,
@@ -188,13 +188,13 @@
     }
     effects: list[Effect] = [WriteLog(event=LogEvent.FLOW_FOUND, fields=fields)]
     for packet in search.packets:
-        known.caller_ack = packet.ack
-        effects.append(forward_packet(state, host, known.service, packet))
+        record.caller_ack = packet.ack
+        effects.append(forward_packet(state, host, record.service, packet))
     return effects
 
 
 def conclude_search(state: BalancerState, flow: bytes, search: Search) -> list[Effect]:
-    """Act on a search whose open questions are answered."""
+    """Take the next step of a search once no answer is pending."""
     if search.pending_hosts:
         return []
     if search.deferred_hosts:
@@ -225,7 +225,7 @@
 
 
 def conclude_denied_searches(state: BalancerState) -> list[Effect]:
-    """Act on searches that were waiting for a recent list of agents."""
+    """Conclude the searches that were waiting for a recent list of agents."""
     effects: list[Effect] = []
     for key, search in list(state.searches.items()):
         if _search_state.is_denied(search):
@@ -234,21 +234,21 @@
 
 
 def _try_next_hosts(state: BalancerState, flow: bytes, search: Search) -> list[Effect]:
-    """Try the flow's smallest packet on the unsure agents likeliest to hold it.
+    """Forward a packet of the flow to the unsure agents most likely to hold it.
 
-    First on the few where the flow was placed if load allowed, then on the others
-    of this availability zone, then on all.
+    The preferred hosts of the flow come first, then the other agents in this
+    availability zone, then all.
     """
     if not search.packets:
         return []
     views = state.nodes.upstreams
     zone = state.report.zone
     reports = [v.report for v in views.values()]
-    near = {report.host for report in reports if report.zone == zone}
-    likely = list_preferred_hosts(
+    zone_hosts = {report.host for report in reports if report.zone == zone}
+    preferred = list_preferred_hosts(
         _list_route_reports(state, search), zone=zone, flow=flow
     )
-    for hosts in (likely, near, search.unsure_hosts):
+    for hosts in (preferred, zone_hosts, search.unsure_hosts):
         search.pending_hosts = search.unsure_hosts.intersection(hosts)
         if search.pending_hosts:
             break
@@ -259,7 +259,7 @@
 
 
 def _list_route_reports(state: BalancerState, search: Search) -> list[NodeReport]:
-    """Return the reports of agents whose service the flow's endpoint leads to."""
+    """Return the reports of agents whose service is in the flow's route."""
     route = state.table.routes.get(search.packets[0].endpoint)
     services = {share.service for share in route.shares} if route else set()
     reports = (view.report for view in state.nodes.upstreams.values())
@@ -267,18 +267,18 @@
 
 
 def _knows_all_agents(state: BalancerState, now: float) -> bool:
-    """Whether no agent is likely to be missing among those that were asked."""
+    """Whether the list of agents is likely to be complete."""
     nodes = state.nodes
     if not nodes.upstreams or not (nodes.store_listed or state.peers_synced):
         return False
-    alone = not nodes.balancers
-    late = now - state.started_at > _failure_detection.SYNC_TIMEOUT_SECONDS
-    return state.peers_synced or alone or late
+    has_no_peers = not nodes.balancers
+    timed_out = now - state.started_at > _failure_detection.SYNC_TIMEOUT_SECONDS
+    return state.peers_synced or has_no_peers or timed_out
 
 
 def _forward_trial_packet(state: BalancerState, search: Search) -> list[Effect]:
-    """Give the smallest packet to upstreams; those without the flow bounce it."""
-    packet = min(search.packets, key=lambda held: len(held.data))
+    """Forward the smallest packet; upstreams without the flow bounce it."""
+    packet = min(search.packets, key=lambda p: len(p.data))
     effects: list[Effect] = []
     for host in search.pending_hosts:
         view = state.nodes.upstreams.get(host)
@@ -290,7 +290,7 @@
 def handle_search_denial(
     state: BalancerState, flow: bytes, source: str
 ) -> list[Effect]:
-    """Note that an upstream does not hold a flow that is searched for."""
+    """Record that an upstream does not hold a flow that is being searched for."""
     search = state.searches.get(flow)
     if search is None:
         return []
@@ -303,7 +303,7 @@
 def restart_search(
     state: BalancerState, flow: bytes, source: str, caller_ack: int, now: float
 ) -> list[Effect]:
-    """Look for a flow that the agent named here does not hold any more."""
+    """Search for a flow that its agent does not hold any more."""
     if flow in state.resets or len(state.searches) >= _search_state.MAX_SEARCHES:
         return []
     search = _start_search(state, flow, caller_ack, now, excluded=source)
@@ -311,7 +311,7 @@
 
 
 def handle_search_timeouts(state: BalancerState, now: float) -> list[Effect]:
-    """Ask again for flows not found in time; end searches that nobody needs."""
+    """Retry overdue searches and drop those whose callers have stopped sending."""
     effects: list[Effect] = []
     for key, search in list(state.searches.items()):
         if _search_state.is_abandoned(search, now):
@@ -328,27 +328,29 @@
 
 
 def send_locates(state: BalancerState) -> list[Effect]:
-    """Send the questions that came up since the sockets were last drained."""
+    """Send the `Locate` messages collected since the sockets were last drained."""
     if not state.pending_locates:
         return []
-    asked = {host: [*dict.fromkeys(f)] for host, f in state.pending_locates.items()}
+    flows_by_host = {
+        host: [*dict.fromkeys(f)] for host, f in state.pending_locates.items()
+    }
     state.pending_locates = {}
     return [
         SendMessage(host, Locate(flows=part))
-        for host, flows in asked.items()
+        for host, flows in flows_by_host.items()
         for part in split_into_chunks(flows, FLOWS_PER_LOCATE)
     ]
 
 
 def add_host_to_searches(state: BalancerState, host: str) -> None:
-    """Ask an agent that has just become known for the flows searched for."""
+    """Ask a newly known agent about all flows that are being searched for."""
     for key, search in state.searches.items():
         search.pending_hosts.add(host)
         _queue_locate(state, key, (host,))
 
 
 def remove_host_from_searches(state: BalancerState, host: str) -> list[Effect]:
-    """Wait no longer for an agent's answers."""
+    """Stop waiting for an agent's answers."""
     effects: list[Effect] = []
     for key, search in list(state.searches.items()):
         search.pending_hosts.discard(host)
--- a/shedsill/datagram/_search_state.py
+++ b/shedsill/datagram/_search_state.py
@@ -1,4 +1,4 @@
-"""Flows whose upstream a balancer does not know and asks the agents for."""
+"""State of the searches for flows whose agent a balancer does not know."""
 
 from __future__ import annotations
 
@@ -10,48 +10,49 @@
 from shedsill.datagram._packet import Packet
 
 LOCATE_TIMEOUT_SECONDS = 0.15
-"""Seconds after which unanswered agents are asked again, if packets still wait;
-some round trips between availability zones, below the 200 ms after which
-callers send again."""
+"""Time after which agents without an answer are asked again: several round trips
+between availability zones, below the callers' retransmission delay of 200 ms."""
 
 SEARCH_IDLE_TIMEOUT_SECONDS = 3.0
-"""Seconds after which a search without new packets is dropped."""
+"""Time without packets from the caller after which a search is dropped."""
 
 MAX_BUFFERED_PACKETS = 16
-"""Packets held for one flow: as many as one end may have under way."""
+"""Packets buffered for one flow: as many as a caller may have in flight."""
 
 MAX_SEARCHES = 8192
-"""Searches at once; above this, packets of unknown flows are dropped."""
+"""Concurrent searches; beyond these, packets of unknown flows are dropped."""
 
 
 class SearchPhase(enum.Enum):
-    """What a search is waiting for."""
+    """What a search is waiting for: answers to `Locate` or to a forwarded packet."""
 
     ASKING = "asking"
     TRYING = "trying"
 
 
 class Search(Struct):
-    """One flow that is being looked for.
+    """Search for one flow.
 
     Attributes
     ----------
     packets : list of Packet
-        Held until the upstream is known.
+        Buffered until the agent is known.
     pending_hosts : set of str
-        Hosts of the agents that were asked and have not answered.
+        Agents that were asked and have not answered.
     deferred_hosts : set of str
-        Hosts of agents that are asked once the others have denied the flow.
+        Agents that are asked once the others have denied the flow.
     unsure_hosts : set of str
-        Hosts of agents that could not tell and have not been tried yet.
+        Agents that are unsure and have not been sent a packet yet.
     tried_count : int
-        Agents that were given a packet.
+        Number of agents that were sent a packet.
     asked_at : float
         When agents were last asked.
-    last_packet_at, started_at : float
-        When the last packet of the flow came, and the first.
+    last_packet_at : float
+        When the flow's last packet arrived.
+    started_at : float
+        When the search started.
     caller_ack : int
-        What the caller expects next, as its last packet said.
+        Acknowledgement number of the caller's last packet.
     """
 
     packets: list[Packet]
@@ -69,7 +70,7 @@
 def create_search(
     caller_ack: int, hosts: Iterable[str], deferred_hosts: Iterable[str], now: float
 ) -> Search:
-    """Return a search that starts now, without packets so far."""
+    """Return a new search without packets."""
     return Search(
         packets=[],
         pending_hosts=set(hosts),
@@ -82,7 +83,7 @@
 
 
 def buffer_packet(search: Search, packet: Packet, now: float) -> None:
-    """Hold another packet of the flow; the oldest one goes when there are many."""
+    """Buffer a packet of the flow; the oldest one is dropped if there are too many."""
     search.last_packet_at = now
     search.caller_ack = packet.ack
     search.packets.append(packet)
@@ -96,10 +97,10 @@
 
 
 def is_retry_due(search: Search, now: float) -> bool:
-    """Whether the agents that have not answered are to be asked again."""
+    """Whether agents without an answer should be asked again."""
     return now - search.asked_at >= LOCATE_TIMEOUT_SECONDS
 
 
 def is_abandoned(search: Search, now: float) -> bool:
-    """Whether the caller has stopped sending, so that nobody waits."""
+    """Whether the caller has stopped sending."""
     return now - search.last_packet_at >= SEARCH_IDLE_TIMEOUT_SECONDS
