--- a/shedsill/datagram/_failure_detection.py
+++ b/shedsill/datagram/_failure_detection.py
@@ -1,8 +1,8 @@
-"""What a balancer knows of the other nodes.
+"""Reports of other nodes, and detection of agents that have failed.
 
-Agents and balancers keep a report of themselves in the platform's store, and
-tell those they have heard of directly.  Direct news and the store may come in
-any order; the incarnation and serial of a report tell which is later.
+Nodes keep a report of themselves in the platform's store and also send it to the
+nodes that they know.  Both ways may deliver reports in any order; incarnation and
+serial decide which report is later.
 """
 
 from __future__ import annotations
@@ -16,53 +16,49 @@
 from shedsill.datagram._selection import UpstreamView
 
 IDLE_BEFORE_PROBE_SECONDS = 0.5
-"""Seconds without a word after which an agent that holds flows is asked; long
-enough that agents under traffic are never asked."""
+"""Time without a message after which an agent that holds flows is probed; agents that
+carry traffic send messages more often."""
 
 PROBE_INTERVAL_SECONDS = 0.15
-"""Seconds between questions to an agent that does not answer."""
+"""Interval between probes of an agent that does not answer."""
 
 LOST_AFTER_SECONDS = 1.0
-"""Seconds of silence after which an agent's flows are given up.  Far above the
-0.1 s for which a VM out of processor quota stands still, and below the deadline
-of any request, so that callers have time for another try."""
+"""Silence after which an agent is lost and its flows are reset: well above the pauses
+of 0.1 s of a throttled VM, and below all request deadlines, so that callers can
+retry."""
 
 STOPPING_LOST_AFTER_SECONDS = 2.5
-"""The same for an agent that has said that it stops: it may be restarted beside a
-living upstream, which takes 0.6 s (1.4 s measured with 0.16 of a core), and
-answers until then.  One that is silent for longer has gone with its VM."""
+"""The same for an agent that has announced its stop; its restart beside a running
+upstream must fit into this time."""
 
 GONE_LOST_AFTER_SECONDS = 0.3
-"""The same for an agent whose upstream has said that it ends: their VM goes next, and
-each search for a flow would wait for it."""
+"""The same for an agent whose upstream has announced its end: the VM is removed next,
+and searches would wait for it."""
 
 LOST_AFTER_PROBES = 3
-"""Questions that must have gone unanswered by then; datagrams may be lost."""
+"""Unanswered probes required before an agent is lost; datagrams may be dropped."""
 
 SILENT_AFTER_PROBES = 2
-"""Unanswered questions from which on an agent counts as silent: one datagram may be
-lost, and the second question follows after 0.15 s, longer than a VM out of processor
-quota stands still."""
+"""Unanswered probes from which on an agent counts as silent: a single datagram may be
+dropped, and the next probe follows after more than the pause of a throttled VM."""
 
 ISOLATION_SHARE = 0.5
-"""Share of silent agents from which on the silence is put down to this balancer's
-own VM or link; a balancer that is cut off or choked hears from none."""
+"""Share of silent agents above which the fault is attributed to this balancer's own VM
+or network link."""
 
 ISOLATED_AFTER_PROBES = 4
-"""Unanswered questions (0.45 s) to most agents after which a balancer asks the
-routers for no more packets; others of the zone or the next one reach the agents."""
+"""Unanswered probes of most agents after which a balancer is not ready any more, so
+that routers use other balancers."""
 
 SYNC_TIMEOUT_SECONDS = LOST_AFTER_SECONDS
-"""Seconds in which a new balancer asks others which nodes they know.  It resets no
-flow that its agents deny before one has told, or before this time has passed where
-none answers: as long as an agent may be silent before it is given up."""
+"""Time for which a new balancer waits for the nodes known to its peers before it resets
+flows that its agents deny; as long as a live agent may be silent."""
 
 RETIRED_RETENTION_SECONDS = 600.0
-"""Seconds for which an ended incarnation is remembered; no report of it can be
-under way or come from the store any more."""
+"""Time for which an ended incarnation is kept; no report of it can arrive later."""
 
 LOST_PROBE_INTERVAL_SECONDS = 0.5
-"""Seconds between questions to an agent that was given up."""
+"""Interval between probes of a lost agent."""
 
 
 class Nodes(Struct):
@@ -77,7 +73,7 @@
     store_listed : bool
         Whether the store has been read since the start.
     retired_incarnations : dict of int to float
-        Incarnations that have ended, and when they were replaced.
+        Ended incarnations, and when each was replaced.
     """
 
     upstreams: dict[str, UpstreamView] = field(default_factory=dict)
@@ -93,24 +89,29 @@
 def merge_report(
     nodes: Nodes, report: NodeReport, now: float, *, direct: bool
 ) -> NodeReport | None:
-    """Take in one report; return the one that it replaced, if any.
+    """Merge a report into the known nodes.
 
-    Within an incarnation the serial decides which report is later.  Incarnations
-    are not ordered: what a node says itself is true at that moment, and what the
-    store or others say of it may be old.  An agent that is answering is asked
-    itself when others tell of another incarnation.
+    Within an incarnation the report with the higher serial is later.  Incarnations
+    are not ordered: a report that comes from the node itself is current, while one
+    from the store or another node may be outdated.  If another incarnation of an
+    answering agent is reported indirectly, the agent is probed.
 
     Parameters
     ----------
     direct : bool
-        Whether it came from the node itself rather than through the store.
+        Whether the report came from the node itself.
+
+    Returns
+    -------
+    NodeReport or None
+        The node's previous report.
 
     Examples
     --------
     >>> nodes = Nodes()
-    >>> run = NodeReport(host="a", role=Role.AGENT, zone="z", incarnation=2)
-    >>> merge_report(nodes, run, 1.0, direct=True)
-    >>> old = replace(run, incarnation=1)
+    >>> report = NodeReport(host="a", role=Role.AGENT, zone="z", incarnation=2)
+    >>> merge_report(nodes, report, 1.0, direct=True)
+    >>> old = replace(report, incarnation=1)
     >>> merge_report(nodes, old, 1.1, direct=False).incarnation
     2
     >>> nodes.upstreams["a"].report.incarnation
@@ -154,7 +155,7 @@
 
 
 def is_confirmed(view: UpstreamView) -> bool:
-    """Whether an agent has told its incarnation itself and is not silent."""
+    """Whether the agent itself has reported its incarnation, and is not silent."""
     return (
         view.confirmed_incarnation == view.report.incarnation
         and view.silent_since is None
@@ -162,7 +163,7 @@
 
 
 def _record_direct_report(view: UpstreamView, report: NodeReport, now: float) -> None:
-    """Note what an agent says of itself."""
+    """Record a report that came from the agent itself."""
     record_message(view, now)
     view.confirmed_incarnation = report.incarnation
     view.avoided_until = now + report.load.avoided
@@ -172,7 +173,7 @@
 def _replace_incarnation(
     nodes: Nodes, view: UpstreamView, report: NodeReport, now: float
 ) -> None:
-    """Replace an agent's incarnation; forget the silence of the last one."""
+    """Replace an agent's incarnation, and clear the silence of the previous one."""
     nodes.retired_incarnations[view.report.incarnation] = now
     view.report = replace(report, load=view.report.load)
     schedule_probe(view, now)
@@ -182,14 +183,14 @@
 
 
 def schedule_probe(view: UpstreamView, now: float) -> None:
-    """Have an agent asked at the next tick."""
+    """Have an agent probed at the next tick."""
     if view.silent_since is None or view.lost:
         view.silent_since = now
     view.last_probe_at = now - PROBE_INTERVAL_SECONDS
 
 
 def record_message(view: UpstreamView, now: float) -> None:
-    """Note that an agent has said something."""
+    """Record that a message came from an agent."""
     view.last_heard_at = now
     view.silent_since = None
     view.unanswered_probes = 0
@@ -198,7 +199,7 @@
 
 
 def record_load(view: UpstreamView, load: Load, boot: str, now: float) -> None:
-    """Take in the load that came with another message."""
+    """Record the load that came with a message."""
     record_message(view, now)
     view.avoided_until = now + load.avoided
     if boot == view.report.boot:
@@ -206,13 +207,13 @@
 
 
 def is_probe_due(view: UpstreamView, now: float, *, needed: bool) -> bool:
-    """Whether an agent has to be asked now whether it is alive.
+    """Whether an agent should be probed now.
 
     Parameters
     ----------
     needed : bool
-        Whether anything depends on it: it holds flows of this balancer, or
-        another agent is silent and this one shows whose fault that is.
+        Whether the agent's liveness matters: it holds flows of this balancer, is
+        leaving, or is compared with another agent that is silent.
     """
     if view.silent_since is None:
         needed = needed or view.suspect or not view.last_heard_at
@@ -222,7 +223,7 @@
 
 
 def record_probe(view: UpstreamView, now: float) -> None:
-    """Note that an agent was asked."""
+    """Record that an agent was probed."""
     if view.silent_since is None:
         view.silent_since = now
     view.last_probe_at = now
@@ -232,19 +233,19 @@
 
 
 def mark_suspect(view: UpstreamView, now: float) -> None:
-    """Note that an agent has left something unanswered; ask it next."""
+    """Record that an agent has left a message unanswered, and have it probed."""
     view.suspect = True
     if view.silent_since is None:
         schedule_probe(view, now)
 
 
 def is_ending(view: UpstreamView) -> bool:
-    """Whether an upstream has said that it ends, and its agent still answers."""
+    """Whether an upstream has announced its end and its agent is not lost."""
     return view.report.state == UpstreamState.GONE and not view.lost
 
 
 def has_timed_out(view: UpstreamView, now: float) -> bool:
-    """Whether the flows of a silent agent are to be given up now."""
+    """Whether a silent agent should be given up now."""
     if view.lost or view.silent_since is None:
         return False
     if is_ending(view):
@@ -261,42 +262,42 @@
 def is_isolated(
     views: Iterable[UpstreamView], now: float, *, min_probes: int = SILENT_AFTER_PROBES
 ) -> bool:
-    """Whether so many agents are silent that it must be this balancer's doing.
+    """Whether so many agents are silent that this balancer must be cut off.
 
     Parameters
     ----------
     min_probes : int
-        Unanswered questions from which on an agent counts as silent.
+        Unanswered probes from which on an agent counts as silent.
     """
-    silent = heard = 0
+    silent = answering = 0
     for view in views:
         if view.lost:
             continue
         if view.silent_since is not None and view.unanswered_probes >= min_probes:
             silent += 1
         elif view.last_heard_at and now - view.last_heard_at < LOST_AFTER_SECONDS:
-            heard += 1
-    return silent > ISOLATION_SHARE * (silent + heard)
+            answering += 1
+    return silent > ISOLATION_SHARE * (silent + answering)
 
 
 def remove_retired(nodes: Nodes, now: float) -> None:
-    """Drop incarnations that ended long ago."""
+    """Remove incarnations that ended long ago."""
     for incarnation, at in list(nodes.retired_incarnations.items()):
         if now - at > RETIRED_RETENTION_SECONDS:
             del nodes.retired_incarnations[incarnation]
 
 
 def restart_silence_timers(views: Iterable[UpstreamView], now: float) -> int:
-    """Count the silence of agents anew: messages to or from this balancer were lost.
+    """Restart the timers of silent agents, after messages of this balancer were lost.
 
-    An agent is given up only after a time in which this balancer would have heard it
-    if it lived.  After a sign that this was not so, that time begins again; giving a
-    dead agent up takes up to `LOST_AFTER_SECONDS` longer then.
+    An agent is given up only after a time in which this balancer would have received
+    its messages.  Restarting the timers delays the detection of a failed agent by up to
+    `LOST_AFTER_SECONDS`.
 
     Returns
     -------
     int
-        The agents that are silent.
+        Number of silent agents.
     """
     silent = [v for v in views if v.silent_since is not None and not v.lost]
     for view in silent:
@@ -305,18 +306,18 @@
 
 
 def is_late_answer(before: UpstreamView, after: UpstreamView) -> bool:
-    """Whether an agent that has just spoken shows that questions were lost.
+    """Whether an agent's message shows that earlier probes were lost.
 
-    One that was restarted, or had said that it stops, was away itself.
+    An agent that was restarted, or had announced its stop, was unavailable itself.
     """
-    away = before.report.incarnation != after.report.incarnation
+    restarted = before.report.incarnation != after.report.incarnation
     return before.unanswered_probes >= SILENT_AFTER_PROBES and not (
-        away or before.report.stopping
+        restarted or before.report.stopping
     )
 
 
 def shift_silence_timers(views: Iterable[UpstreamView], pause: float) -> None:
-    """Take back the silence that was this node's own: it did not run meanwhile."""
+    """Exclude a time from silences in which this node itself was paused."""
     for view in views:
         if view.silent_since is not None:
             view.silent_since += pause
--- a/shedsill/datagram/_flow_placement.py
+++ b/shedsill/datagram/_flow_placement.py
@@ -1,4 +1,4 @@
-"""Which upstream takes a new flow, and what happens until its caller has chosen."""
+"""Placement of new flows, from the SYN to the caller's choice of an upstream."""
 
 from __future__ import annotations
 
@@ -17,19 +17,18 @@
 from shedsill.datagram._selection import REFUSAL_BACKOFF_SECONDS, choose_upstream
 
 OFFER_TIMEOUT_SECONDS = 0.08
-"""Seconds after which an opening packet without an answer is offered to another
-upstream: above the processor pauses of a loaded VM, and below the 200 ms after
-which the caller would send its next copy."""
+"""Time after which an unanswered SYN is offered to another upstream: above the pauses
+of a loaded VM, and below the callers' retransmission delay of 200 ms."""
 
 MAX_OFFERS = 4
-"""Upstreams that one opening packet is offered to."""
+"""Maximum number of upstreams that one SYN is offered to."""
 
 MAX_OVERLOADED_OFFERS = 3
-"""Overloaded upstreams after which an opening is given up: load is spread evenly,
-and the least full ones are asked first."""
+"""Overloaded upstreams after which a SYN is refused; the least loaded ones come
+first."""
 
 MAX_FLOWS = 200_000
-"""Flows remembered; a flow forgotten is found again by asking the agents."""
+"""Maximum number of known flows; a dropped flow is found again by a search."""
 
 
 def place_flow(
@@ -52,7 +51,7 @@
     route: Route,
     now: float,
 ) -> list[Effect]:
-    """Offer an opening packet to an upstream that has not been offered it."""
+    """Offer a SYN to an upstream that has not been offered it yet."""
     view = None
     if flow.overloaded_count < MAX_OVERLOADED_OFFERS:
         view = choose_upstream(
@@ -87,24 +86,23 @@
 def _handle_no_candidate(
     state: BalancerState, flow: BalancerFlow, packet: Packet
 ) -> list[Effect]:
-    """Reset an opening that nobody can take; nothing of it has run.
+    """Reset a new flow that no upstream can accept.
 
-    While an upstream that was offered it may still answer, nothing is given up.
-    Neither is it while this balancer does not know the nodes yet, or its list of them
-    is not recent.
+    The flow is kept while an upstream that was offered the SYN may still answer, while
+    no upstream of the service is known, and until the list of agents is recent.
     """
-    known = state.nodes.list_service_upstreams(flow.service)
+    upstreams = state.nodes.list_service_upstreams(flow.service)
     fields = {
         "flow": packet.flow,
         "service": flow.service,
-        "known": len(known),
+        "known": len(upstreams),
         "overloaded": flow.overloaded_count,
     }
-    if flow.offered or not known:
+    if flow.offered or not upstreams:
         return [WriteLog(event=LogEvent.NO_CANDIDATE, fields=fields)]
     if not _report_polling.is_recent(state.polling, state.last_tick_at):
-        wanted = _report_polling.request_read(state.polling, state.last_tick_at)
-        return [WriteLog(event=LogEvent.NO_CANDIDATE, fields=fields), *wanted]
+        read_effects = _report_polling.request_read(state.polling, state.last_tick_at)
+        return [WriteLog(event=LogEvent.NO_CANDIDATE, fields=fields), *read_effects]
     state.flows.pop(packet.flow, None)
     state.pending_flows.pop(packet.flow, None)
     return [
@@ -120,7 +118,7 @@
     route: Route,
     now: float,
 ) -> list[Effect]:
-    """Send a copy to an upstream that has answered, or else to another one."""
+    """Forward a retransmitted SYN to the upstream that answered, or offer it again."""
     flow.last_packet_at = now
     answered = [host for host, seq in flow.offered.items() if seq is not None]
     host = flow.host or (answered[0] if answered else "")
@@ -138,7 +136,7 @@
 def assign_flow(
     state: BalancerState, flow: BalancerFlow, packet: Packet
 ) -> list[Effect]:
-    """Find which upstream the caller has chosen, by what it acknowledges."""
+    """Assign a flow to the upstream whose answer the caller acknowledges."""
     state.pending_flows.pop(packet.flow, None)
     for host, initial_seq in flow.offered.items():
         if initial_seq is None:
@@ -163,7 +161,7 @@
 def handle_flow_taken(
     state: BalancerState, taken: FlowTaken, source: str, now: float
 ) -> list[Effect]:
-    """Note that an upstream has answered an opening."""
+    """Record that an upstream has answered a SYN."""
     flow = state.pending_flows.pop(taken.flow, None)
     if flow is None:
         flow = state.flows.get(taken.flow)
@@ -182,7 +180,7 @@
     reason: ReturnReason,
     now: float,
 ) -> list[Effect]:
-    """Offer an opening that was handed back to another upstream."""
+    """Offer a returned SYN to another upstream."""
     view = state.nodes.upstreams.get(source)
     if view is not None:
         view.refused_until = now + REFUSAL_BACKOFF_SECONDS
@@ -199,7 +197,7 @@
 
 
 def handle_offer_timeouts(state: BalancerState, now: float) -> list[Effect]:
-    """Offer openings that were not answered in time to another upstream."""
+    """Offer SYNs that were not answered in time to another upstream."""
     effects: list[Effect] = []
     for key, flow in list(state.pending_flows.items()):
         if now - flow.offered_at < OFFER_TIMEOUT_SECONDS:
--- a/shedsill/datagram/_membership.py
+++ b/shedsill/datagram/_membership.py
@@ -1,4 +1,4 @@
-"""How a balancer follows the other nodes, and frees the flows of those that end."""
+"""Membership: reports of other nodes, and the removal of agents that have ended."""
 
 from __future__ import annotations
 
@@ -32,25 +32,25 @@
 from shedsill.datagram._selection import UpstreamView
 
 PEERS_PER_SYNC = 3
-"""Other balancers that one asks at a time for the nodes they know when it starts."""
+"""Balancers that a starting balancer asks at a time for the nodes they know."""
 
 OUTAGE_SYNC_INTERVAL_SECONDS = 1.0
-"""Seconds between these questions after `SYNC_TIMEOUT_SECONDS`, while the store has not
-answered either."""
+"""Interval between these requests after `SYNC_TIMEOUT_SECONDS`, as long as the store
+has not answered either."""
 
 TABLE_PULL_DELAY_SECONDS = 0.4
-"""Seconds that a balancer waits for the store to bring a table that others have.
-All reading from the first one that has it would fill its link."""
+"""Time to wait for the store to deliver a table that peers already have; if all pulled
+it from the first peer that has it, they would saturate its link."""
 
 LOST_REPORT_RETENTION_SECONDS = 20.0
-"""Seconds after which a lost agent's report is removed from the store; a VM that
-is down or cut off for less keeps its place."""
+"""Time after which the report of a lost agent is removed from the store; longer than a
+short failure of a VM or its network."""
 
 
 def handle_direct_report(
     state: BalancerState, report: NodeReport, now: float
 ) -> list[Effect]:
-    """Take in what a node says of itself."""
+    """Handle a report that came from the node itself."""
     if report.host == state.report.host:
         return []
     before = _failure_detection.merge_report(state.nodes, report, now, direct=True)
@@ -77,27 +77,28 @@
 
 
 def _should_relay_leaving(state: BalancerState, now: float) -> bool:
-    """Whether this balancer tells the others that an upstream is about to end.
+    """Whether this balancer relays that an upstream is about to end.
 
-    Its agent has told the seeds, and those that dealt with it lately.  If all of them
-    passed it on, there would be as many messages as pairs of balancers.
+    Its agent has notified the seeds and the balancers that recently sent it packets.
+    If all of them relayed the report, messages would grow with the square of the number
+    of balancers.
     """
     is_seed = state.report.host in state.seeds
     return is_seed or _checkpoint_collection.is_collector(state, now)
 
 
 def _relay_report(state: BalancerState, report: NodeReport) -> list[Effect]:
-    """Tell the other balancers of an agent that has just started or is leaving.
+    """Relay the report of a starting or leaving agent to the other balancers.
 
-    A new agent knows only the balancers among its seeds.  Those that have heard of
-    it from others do not relay it again.
+    A new agent knows only the balancers among its seeds.  Relayed reports are not
+    relayed again.
     """
     roster = Roster(reports=[report], last=False)
     return [SendMessage(host, roster) for host in state.nodes.balancers]
 
 
 def _record_peer_version(state: BalancerState, report: NodeReport, now: float) -> None:
-    """Note that another balancer has a newer table."""
+    """Record that another balancer has a newer table."""
     if report.version <= state.table.version:
         return
     if not state.peers_ahead:
@@ -106,15 +107,17 @@
 
 
 def pull_table(state: BalancerState, now: float) -> list[Effect]:
-    """Read the table from another balancer if the store has not brought it.
+    """Request the table from another balancer if the store has not delivered it.
 
-    One of this balancer's own availability zone goes first: tables are large,
-    and octets between zones are dear.
+    Balancers in the same availability zone are preferred: tables are large, and
+    traffic between zones is costly.
     """
     if not state.peers_ahead or now - state.behind_since < TABLE_PULL_DELAY_SECONDS:
         return []
-    near = [h for h, zone in state.peers_ahead.items() if zone == state.report.zone]
-    hosts = sorted(near or state.peers_ahead)
+    zone_hosts = [
+        h for h, zone in state.peers_ahead.items() if zone == state.report.zone
+    ]
+    hosts = sorted(zone_hosts or state.peers_ahead)
     state.peer_exchanges += 1
     host = hosts[(state.report.incarnation + state.peer_exchanges) % len(hosts)]
     state.behind_since = now
@@ -124,16 +127,16 @@
 def handle_indirect_reports(
     state: BalancerState, reports: Iterable[NodeReport], now: float
 ) -> list[Effect]:
-    """Take in what others say of nodes."""
+    """Handle reports that came from the store or from other balancers."""
     effects: list[Effect] = []
     for report in reports:
         if report.host == state.report.host:
             continue
-        known = state.nodes.upstreams.get(report.host)
-        was_lost = known is not None and known.lost
+        view = state.nodes.upstreams.get(report.host)
+        was_lost = view is not None and view.lost
         before = _failure_detection.merge_report(state.nodes, report, now, direct=False)
         effects += _handle_changed_report(state, report, before)
-        if was_lost and known is not None and not known.lost:
+        if was_lost and view is not None and not view.lost:
             _flow_search.add_host_to_searches(state, report.host)
     return effects
 
@@ -143,7 +146,7 @@
     report: NodeReport,
     before: NodeReport | None,
 ) -> list[Effect]:
-    """Log what has changed, and ask a new agent for the flows searched for."""
+    """Log a changed report, and ask a new agent about the flows being searched for."""
     view = state.nodes.upstreams.get(report.host)
     if view is None or view.report is before:
         return []
@@ -168,15 +171,15 @@
 
 
 def handle_reports_listed(state: BalancerState, event: ReportsListed) -> list[Effect]:
-    """Take in the reports that the store holds."""
+    """Handle reports that were read from the store."""
     unknown = _list_unknown_agents(state, event.reports)
     effects = handle_indirect_reports(state, event.reports, event.now)
-    is_first = _checkpoint_collection.is_collector(state, event.now)
-    if is_first and state.nodes.store_listed:
+    is_collector = _checkpoint_collection.is_collector(state, event.now)
+    if is_collector and state.nodes.store_listed:
         for report in unknown:
             effects += _relay_report(state, report)
     _report_polling.record_read(
-        state.polling, event.now, unknown=bool(unknown), is_collector=is_first
+        state.polling, event.now, unknown=bool(unknown), is_collector=is_collector
     )
     for host in event.removed:
         effects += _handle_removed_report(state, host, event.now)
@@ -189,9 +192,9 @@
 
 
 def _handle_removed_report(state: BalancerState, host: str, now: float) -> list[Effect]:
-    """Take in that a node's report was removed from the store."""
+    """Handle the removal of a node's report from the store."""
     if host == state.report.host and state.stop_at is None:
-        # A removal by the last run of this balancer was carried out late.
+        # A delayed removal by this balancer's previous incarnation.
         return [StoreReport(state.report)]
     state.nodes.balancers.pop(host, None)
     view = state.nodes.upstreams.get(host)
@@ -206,7 +209,7 @@
 def _list_unknown_agents(
     state: BalancerState, reports: tuple[NodeReport, ...]
 ) -> list[NodeReport]:
-    """Return the reports of agents that nobody has told this balancer of."""
+    """Return the reports of agents that this balancer does not know."""
     return [
         report
         for report in reports
@@ -217,69 +220,69 @@
 def _store_own_report(
     state: BalancerState, reports: tuple[NodeReport, ...]
 ) -> list[Effect]:
-    """Keep a report of this balancer in the store.
+    """Store this balancer's report, unless the store holds one already.
 
-    One of an earlier run is as good: others take from it that there is a balancer at
-    this host.  It also tells that the earlier run ended without notice, since a planned
-    stop removes the report; nobody may remember the flows that were open then.
+    The report of an earlier incarnation serves as well, since others only read from it
+    that there is a balancer at this host.  It also shows that the earlier incarnation
+    crashed, as a planned stop removes the report; its open flows are then restored from
+    the checkpoint.
     """
-    own = next((r for r in reports if r.host == state.report.host), None)
-    if own is None:
+    own_report = next((r for r in reports if r.host == state.report.host), None)
+    if own_report is None:
         return [StoreReport(state.report)]
     effects: list[Effect] = [ReadCheckpoint()]
-    if (own.role, own.zone) != (state.report.role, state.report.zone):
+    if (own_report.role, own_report.zone) != (state.report.role, state.report.zone):
         effects.append(StoreReport(state.report))
     return effects
 
 
 def _has_left(view: UpstreamView) -> bool:
-    """Whether an agent whose report was deleted is gone.
+    """Whether an agent whose report was deleted has ended.
 
-    It deletes its report itself when its upstream leaves, and tells so.  Another
-    balancer may have deleted it after a time in which it did not hear the agent; such
-    an agent is given up as any other, once it leaves questions unanswered here.
+    An agent deletes its report when its upstream leaves, after announcing that.  A
+    report may also have been deleted by a balancer that did not hear from the agent;
+    such an agent is lost only once it leaves this balancer's probes unanswered.
     """
-    told = view.suspect and view.report.state == UpstreamState.GONE
-    return view.lost or told
+    announced = view.suspect and view.report.state == UpstreamState.GONE
+    return view.lost or announced
 
 
 def synchronize_peers(state: BalancerState, now: float) -> list[Effect]:
-    """Ask a few other balancers for the nodes that they know, until one has told.
+    """Request the known nodes from a few balancers, until one has sent them.
 
-    Agents that the store turns away are known to balancers that they have
-    spoken with, but not from the store.  In an outage the seeds are all there is.
+    Agents that could not write to the store are known only to balancers that they have
+    contacted.  During an outage of the store the seeds are the only known balancers.
     """
     if state.peers_synced or now < state.next_sync_at:
         return []
-    late = now - state.started_at > _failure_detection.SYNC_TIMEOUT_SECONDS
-    if late and state.nodes.store_listed:
+    timed_out = now - state.started_at > _failure_detection.SYNC_TIMEOUT_SECONDS
+    if timed_out and state.nodes.store_listed:
         return []
     state.next_sync_at = now + (
         OUTAGE_SYNC_INTERVAL_SECONDS
-        if late
+        if timed_out
         else _failure_detection.PROBE_INTERVAL_SECONDS
     )
     seeds = [seed for seed in state.seeds if seed != state.report.host]
     others = sorted({*state.nodes.balancers, *seeds})
-    first = state.sync_attempts * PEERS_PER_SYNC % max(len(others), 1)
+    start = state.sync_attempts * PEERS_PER_SYNC % max(len(others), 1)
     state.sync_attempts += 1
-    chosen = (others[first:] + others[:first])[:PEERS_PER_SYNC]
+    chosen = (others[start:] + others[:start])[:PEERS_PER_SYNC]
     return [SendMessage(host, Probe(report=state.report)) for host in chosen]
 
 
 def remove_lost_agents(state: BalancerState, now: float) -> list[Effect]:
-    """Remove what is left of VMs that have been gone for long.
+    """Remove agents that were lost long ago, and their reports in the store.
 
-    One balancer does so, the first one known by host, so that it costs few
-    calls; another one takes over when that is gone.
+    To save calls, only the balancer with the lowest known host removes reports.
     """
     effects: list[Effect] = []
     _failure_detection.remove_retired(state.nodes, now)
-    first = min([state.report.host, *state.nodes.balancers]) == state.report.host
+    is_lowest = min([state.report.host, *state.nodes.balancers]) == state.report.host
     for host, view in list(state.nodes.upstreams.items()):
         if not view.lost or now - view.lost_at < LOST_REPORT_RETENTION_SECONDS:
             continue
-        if first:
+        if is_lowest:
             effects.append(RemovePeerReport(view.report))
         effects += _remove_upstream(state, host)
     return effects
@@ -291,25 +294,25 @@
 
 
 def _reset_agent_flows(state: BalancerState, host: str, reason: str) -> list[Effect]:
-    """Reset the flows of an agent that is gone, and search without it."""
+    """Reset the flows of an agent that has ended, and remove it from searches."""
     keys = [key for key, flow in state.flows.items() if flow.host == host]
     effects = reset_flows(state, keys, host, reason)
     return effects + _flow_search.remove_host_from_searches(state, host)
 
 
 def probe_agents(state: BalancerState, now: float) -> list[Effect]:
-    """Ask agents that have been silent; give up those that stay so."""
+    """Probe silent agents, and give up those that do not answer."""
     effects: list[Effect] = []
     probe = Probe()
     views = state.nodes.upstreams.values()
-    doubt = any(v.silent_since is not None and not v.lost for v in views)
+    any_silent = any(v.silent_since is not None and not v.lost for v in views)
     for host, view in state.nodes.upstreams.items():
-        wanted = (
-            doubt
+        needed = (
+            any_silent
             or host in state.hosts_with_flows
             or _failure_detection.is_ending(view)
         )
-        if _failure_detection.is_probe_due(view, now, needed=wanted):
+        if _failure_detection.is_probe_due(view, now, needed=needed):
             _failure_detection.record_probe(view, now)
             effects.append(SendMessage(host, probe))
     effects += _update_isolation(state, now)
@@ -329,12 +332,12 @@
 def handle_returned_agent(
     state: BalancerState, before: UpstreamView, now: float
 ) -> list[Effect]:
-    """Draw conclusions from the word of an agent that was silent.
+    """Handle the first message of an agent that was silent.
 
     Parameters
     ----------
     before : UpstreamView
-        What was known of it before it spoke.
+        Copy of the agent's view from before the message.
     """
     host = before.report.host
     view = state.nodes.upstreams.get(host)
@@ -354,7 +357,7 @@
 
 
 def _update_isolation(state: BalancerState, now: float) -> list[Effect]:
-    """Note that this balancer has been cut off from most agents, or no longer is."""
+    """Update and log whether this balancer is cut off from most agents."""
     views = state.nodes.upstreams.values()
     isolated = _failure_detection.is_isolated(
         views, now, min_probes=_failure_detection.ISOLATED_AFTER_PROBES
@@ -370,7 +373,7 @@
 def _give_up_agent(
     state: BalancerState, host: str, view: UpstreamView, now: float
 ) -> list[Effect]:
-    """Free the callers of an agent that is silent: its VM is down or cut off."""
+    """Reset the flows of a silent agent, whose VM is down or cut off."""
     views = state.nodes.upstreams.values()
     fields = {
         "upstream": host,
@@ -383,5 +386,5 @@
     }
     view.lost = True
     view.lost_at = now
-    note = WriteLog(event=LogEvent.UPSTREAM_LOST, fields=fields)
-    return [note, *_reset_agent_flows(state, host, "agent is silent")]
+    log = WriteLog(event=LogEvent.UPSTREAM_LOST, fields=fields)
+    return [log, *_reset_agent_flows(state, host, "agent is silent")]
--- a/shedsill/datagram/_report_polling.py
+++ b/shedsill/datagram/_report_polling.py
@@ -1,13 +1,12 @@
-"""When a balancer reads the reports of nodes in the platform's store.
+"""Schedule of reading the reports of nodes from the platform's store.
 
-Nodes tell each other directly what they know, so that the store is needed for what
-nobody has told: a node that no balancer has heard of.  Calls of the store are shared by
-all nodes, and their number must not grow with balancers times changes.  So a balancer
-whose readings bring nothing unknown reads ever less often, and one balancer, the
-collector of checkpoints, goes on reading often and tells the others.
+Nodes exchange reports directly, so the store is only needed for nodes that no balancer
+has heard from.  To limit the calls to the store, a balancer backs off while its reads
+return no unknown node; one balancer, the collector of checkpoints, keeps reading often
+and relays unknown nodes to the others.
 
-A flow is reset because no agent holds it only if the list of agents is recent.  Where
-it is not, the store is read at once.
+A flow that no agent holds is reset only if the list of agents is recent; if it is not,
+the store is read at once.
 """
 
 from __future__ import annotations
@@ -17,33 +16,32 @@
 from shedsill.datagram._effects import Effect, ReadReports
 
 MIN_POLL_INTERVAL_SECONDS = 2.0
-"""Seconds between a change of reports and the next watch, which then brings all changes
-of that time in one call."""
+"""Time between a change of reports and the next watch, which returns all changes of
+that time in one call."""
 
 MAX_POLL_INTERVAL_SECONDS = 16.0
-"""The same after several readings without an unknown node.  What a balancer acts on it
-asks for when needed, so this delays only the first flows to a node that is known to
-the store and to no other balancer."""
+"""The same after several reads without an unknown node; delays only the first flows to
+a node that no other balancer knows."""
 
 MAX_LIST_AGE_SECONDS = MIN_POLL_INTERVAL_SECONDS
-"""Seconds for which a list that was read is good enough to reset a flow by."""
+"""Maximum age of a list of agents that a reset may rely on."""
 
 READ_TIMEOUT_SECONDS = 0.5
-"""Seconds that callers are made to wait for a reading; a slow store answers in 0.3 s.
-After that what is known has to do, as in an outage of the store."""
+"""Time for which a reset waits for a requested read, in case of an outage of the store;
+a slow store answers within 0.3 s."""
 
 
 class ReportPolling(Struct):
-    """What a balancer notes of its readings.
+    """State of a balancer's reads of the store.
 
     Attributes
     ----------
     read_at : float
         When reports were last read.
     requested_at : float
-        When a reading was last asked for.
+        When a read was last requested.
     interval : float
-        Seconds until the next watch after a change.
+        Time between a change and the next watch.
     """
 
     read_at: float = 0.0
@@ -54,14 +52,14 @@
 def record_read(
     polling: ReportPolling, now: float, *, unknown: bool, is_collector: bool
 ) -> None:
-    """Note that reports were read, and choose when they are read next.
+    """Record that reports were read, and update the polling interval.
 
     Parameters
     ----------
     unknown : bool
-        Whether they told of a node that was not known.
+        Whether the reports contained an unknown node.
     is_collector : bool
-        Whether this balancer reads for the others.
+        Whether this balancer reads on behalf of the others.
 
     Examples
     --------
@@ -82,7 +80,7 @@
 
 
 def is_recent(polling: ReportPolling, now: float) -> bool:
-    """Whether the list is recent, or cannot be had within `READ_TIMEOUT_SECONDS`."""
+    """Whether the list of nodes is recent, or a requested read has timed out."""
     if now - polling.read_at <= MAX_LIST_AGE_SECONDS:
         return True
     return (
@@ -91,12 +89,12 @@
 
 
 def is_read_pending(polling: ReportPolling) -> bool:
-    """Whether a reading was asked for that has not come."""
+    """Whether a requested read has not been completed."""
     return polling.requested_at > polling.read_at
 
 
 def request_read(polling: ReportPolling, now: float) -> list[Effect]:
-    """Ask for a reading at once."""
+    """Request a read without delay."""
     if is_read_pending(polling):
         return []
     polling.requested_at = now
