--- a/shedsill/datagram/_checkpoint_collection.py
+++ b/shedsill/datagram/_checkpoint_collection.py
@@ -1,15 +1,14 @@
-"""Checkpoints of open flows, for callers whose flow nobody remembers.
-
-When balancer, agent and upstream of a flow lose power together, a caller that waits
-for an answer has had everything acknowledged.  It sends nothing, and no node that
-starts afterwards knows that it is there, so that it would wait until its deadline.
-
-So each balancer tells the collector, the first balancer by host that answers, which
-flows have been open for a while, and the collector keeps them all in one object of the
-platform's store.  A balancer that starts after an end without notice reads what its
-last run had told, and treats these flows as doubted: each one's agent is asked, and
-the caller is reset if the agent denies the flow.  An agent that holds it, or cannot
-tell, leaves the flow alone.
+"""Checkpoints of open flows, for failures of all nodes that know a flow.
+
+When balancer, agent and upstream of a flow fail together, a caller that waits for an
+answer sends no further packet, so the restarted nodes would never learn of the flow and
+the caller would wait until its deadline.
+
+Each balancer therefore sends its long-lived flows to the collector, which is the live
+balancer with the lowest host, and the collector writes the flows of all balancers to
+one object in the platform's store.  A balancer that restarts after a crash restores the
+flows of its previous incarnation as unverified: it asks their agents and resets the
+flows that these deny.  A flow that its agent holds or is unsure about is kept.
 """
 
 from __future__ import annotations
@@ -30,43 +29,41 @@
 from shedsill.datagram._packet import SEQUENCE_SPACE, measure_advance
 
 CHECKPOINT_INTERVAL_SECONDS = 2.0
-"""Seconds between checkpoints.  Each one is one call of the store for the whole
-deployment; flows opened since the last one are not in it."""
+"""Interval between checkpoints; each one costs one call to the store for the whole
+deployment."""
 
 MIN_FLOW_DURATION_SECONDS = 0.5
-"""Seconds for which a caller has used a flow before it is kept: those of a single
-request are over by then, and cost no write."""
+"""Minimum duration of a flow that is included; most flows of a single request are
+shorter."""
 
 MAX_FLOW_IDLE_SECONDS = 10.0
-"""Seconds within which a caller has sent a packet on a flow that is kept.  Callers of
-long flows pause for some seconds, and one that asks again in the dark on a flow that
-has ended is as badly off as one whose request was at work."""
+"""Maximum time since the last packet of a flow that is included; longer than the pauses
+between the requests of a caller."""
 
 PART_LIFETIME_SECONDS = 10.0
-"""Seconds for which the collector keeps what a balancer has told: long enough for that
-balancer to lose its power, start and read it."""
+"""Time for which the collector keeps a balancer's part; long enough for that balancer
+to crash, restart and read it."""
 
 MAX_CHECKPOINT_AGE_SECONDS = 30.0
-"""Seconds after which a checkpoint is not used any more: half of the 60 s in which a
-caller's end does not use the same address and port again for the same endpoint, so
-that no flow but the one meant can be reset."""
+"""Age from which a checkpoint is ignored: half of the 60 s for which a caller does not
+reuse its address and port, so that no newer flow can be reset by mistake."""
 
 MAX_UNANSWERED_PARTS = 2
-"""Parts in a row that a collector may leave unanswered; datagrams may be lost."""
+"""Consecutive parts that a collector may leave unanswered; datagrams may be dropped."""
 
 SILENT_COLLECTOR_BACKOFF_SECONDS = 30.0
-"""Seconds for which a balancer that did not answer is not chosen as collector."""
+"""Time for which a balancer that did not answer is not chosen as collector."""
 
 FLOWS_PER_MESSAGE = 18
-"""Flows in one message; up to 64 octets each, so that they fit a packet."""
+"""Flows in one message; at up to 64 bytes each they fit into a packet."""
 
 MAX_CHECKPOINT_FLOWS = 4000
-"""Flows in one checkpoint, of each balancer the latest ones; about 110 octets each in
-the store, whose values may be of 1 MB."""
+"""Flows in one checkpoint; at about 110 bytes each they fit into a stored value, which
+is limited to 1 MB."""
 
 
 def choose_collector(state: BalancerState, now: float) -> str:
-    """Return the first balancer by host that is believed to answer."""
+    """Return the balancer with the lowest host among those believed to be alive."""
     silent_until = state.checkpoints.silent_until
     others = [
         host
@@ -84,7 +81,7 @@
 
 
 def handle_tick(state: BalancerState, now: float) -> list[Effect]:
-    """Tell the collector of the open flows, or store what it was told."""
+    """Send the open flows to the collector, or store all parts as the collector."""
     checkpoints = state.checkpoints
     if now < checkpoints.next_at:
         return []
@@ -118,8 +115,8 @@
 
 
 def _list_open_flows(state: BalancerState, now: float) -> list[OpenFlow]:
-    """Return the flows whose callers may be waiting for an answer."""
-    kept = [
+    """Return the latest flows whose callers may be waiting for an answer."""
+    entries = [
         (key, flow)
         for key, flow in state.flows.items()
         if flow.host
@@ -128,9 +125,9 @@
         and flow.last_packet_at - flow.started_at >= MIN_FLOW_DURATION_SECONDS
         and now - flow.last_packet_at <= MAX_FLOW_IDLE_SECONDS
     ]
-    if len(kept) > MAX_CHECKPOINT_FLOWS:
-        kept.sort(key=lambda entry: entry[1].last_packet_at)
-        del kept[:-MAX_CHECKPOINT_FLOWS]
+    if len(entries) > MAX_CHECKPOINT_FLOWS:
+        entries.sort(key=lambda entry: entry[1].last_packet_at)
+        del entries[:-MAX_CHECKPOINT_FLOWS]
     return [
         OpenFlow(
             flow=key,
@@ -139,7 +136,7 @@
             boot=flow.boot,
             caller_ack=flow.caller_ack,
         )
-        for key, flow in kept
+        for key, flow in entries
     ]
 
 
@@ -156,10 +153,10 @@
 
 
 def _merge_parts(parts: dict[str, Part]) -> dict[str, list[OpenFlow]]:
-    """Return each flow once, from the balancer that has seen most of it.
+    """Return each flow once, from the balancer that saw its latest packet.
 
-    After a change of the routers the one before still remembers it, but does not know
-    how far the caller has got, which a reset has to name.
+    After routers have moved a flow, its previous balancer still reports it, but with an
+    outdated acknowledgement number, which a reset needs.
     """
     latest: dict[bytes, tuple[str, OpenFlow]] = {}
     for host, part in sorted(parts.items()):
@@ -181,7 +178,7 @@
 def handle_checkpoint_part(
     state: BalancerState, message: CheckpointPart, source: str, now: float
 ) -> list[Effect]:
-    """Take in what another balancer tells its collector."""
+    """Handle the open flows of another balancer, as its collector."""
     parts = state.checkpoints.parts
     part = parts.get(source)
     if part is None or part.number != message.number:
@@ -191,7 +188,7 @@
 
 
 def handle_checkpoint_taken(state: BalancerState, source: str) -> list[Effect]:
-    """Note that the collector is there."""
+    """Record that the collector has answered."""
     state.checkpoints.silent_until.pop(source, None)
     if source == state.checkpoints.collector:
         state.checkpoints.unanswered = 0
@@ -199,7 +196,7 @@
 
 
 def handle_checkpoint_read(state: BalancerState, event: CheckpointRead) -> list[Effect]:
-    """Keep what others have told; doubt the flows of this balancer's last run."""
+    """Keep the parts of all balancers, and restore this one's flows at its start."""
     if event.age > MAX_CHECKPOINT_AGE_SECONDS:
         return []
     for host, flows in event.parts.items():
@@ -216,22 +213,22 @@
     return [WriteLog(event=LogEvent.CHECKPOINT_READ, fields=fields)]
 
 
-def _restore_flow(state: BalancerState, kept: OpenFlow, now: float) -> bool:
-    """Have the agent of a flow asked for it, unless something newer is known."""
-    key = kept.flow
+def _restore_flow(state: BalancerState, stored: OpenFlow, now: float) -> bool:
+    """Restore a flow and ask its agent for it, unless something newer is known."""
+    key = stored.flow
     if key in state.flows or key in state.searches or key in state.resets:
         return False
     flow = BalancerFlow(
-        service=kept.service,
+        service=stored.service,
         last_packet_at=now,
         started_at=now,
-        host=kept.host,
-        boot=kept.boot,
-        caller_ack=kept.caller_ack,
+        host=stored.host,
+        boot=stored.boot,
+        caller_ack=stored.caller_ack,
         unverified=True,
         restored=True,
     )
     state.flows[key] = flow
-    state.hosts_with_flows.add(kept.host)
+    state.hosts_with_flows.add(stored.host)
     _flow_search.verify_flow(state, key, flow)
     return True
--- a/shedsill/datagram/_checkpoints.py
+++ b/shedsill/datagram/_checkpoints.py
@@ -1,4 +1,4 @@
-"""What a balancer keeps for checkpoints of open flows; see `_checkpoint_collection`."""
+"""State of the checkpoints of open flows; see `_checkpoint_collection`."""
 
 from __future__ import annotations
 
@@ -8,12 +8,16 @@
 
 
 class Part(Struct):
-    """What one balancer has told the collector.
+    """Open flows that one balancer has sent to the collector.
 
     Attributes
     ----------
     number : int
-        Of the part, see `CheckpointPart`.
+        Number of the part, see `CheckpointPart`.
+    taken_at : float
+        When the part's first message arrived.
+    flows : list of OpenFlow
+        Flows received so far.
     """
 
     number: int
@@ -22,24 +26,24 @@
 
 
 class Checkpoints(Struct):
-    """What a balancer keeps for checkpoints.
+    """State of a balancer's checkpoints.
 
     Attributes
     ----------
     number : int
-        Of the last part that was sent.
+        Number of the last part that was sent.
     next_at : float
-        When the next one is due.
+        When the next part is due.
     collector : str
-        Who was sent the last one.
+        Balancer that the last part was sent to.
     unanswered : int
-        Parts that it has left unanswered in a row.
+        Consecutive parts that the collector has left unanswered.
     silent_until : dict of str to float
         Balancers that are not chosen as collector, and until when.
     parts : dict of str to Part
-        By balancer; at the collector.
+        Latest part of each balancer; used at the collector.
     stored : dict of str to list of OpenFlow
-        What was given to the store last.
+        Value that was last written to the store.
     """
 
     number: int = 0
--- a/shedsill/datagram/_forwarding_table.py
+++ b/shedsill/datagram/_forwarding_table.py
@@ -1,4 +1,4 @@
-"""The forwarding table: which services new flows to an endpoint may go to."""
+"""The forwarding table, which maps endpoints to services."""
 
 from __future__ import annotations
 
@@ -8,26 +8,26 @@
 
 
 class ServiceShare(Struct, frozen=True, kw_only=True):
-    """A service and its share of a route's new flows."""
+    """A service and its weight in a route."""
 
     service: str
     weight: int = 1
 
 
 class Route(Struct, frozen=True, kw_only=True):
-    """What the operator declared for one endpoint.
+    """Configuration of one endpoint.
 
     Attributes
     ----------
     urgency : int
         Priority among the requests of an upstream; 0 is the highest.
     timeout : float
-        Seconds after which callers give a request up.
+        Seconds after which callers give up a request.
     objective : float
-        Seconds within which callers want the answer; 0 where that is not said.
+        Seconds within which callers expect the answer; 0 if not configured.
     bulk : bool
-        Whether callers mostly send large bodies, so that the place of the
-        upstream matters more than its load.
+        Whether callers mostly send large bodies, so that an upstream in the same
+        zone matters more than its load.
     """
 
     name: str
@@ -39,16 +39,16 @@
 
 
 class ForwardingTable(Struct, frozen=True, kw_only=True):
-    """All routes, as of one version of the operator's configuration.
+    """All routes of one version of the configuration.
 
     Attributes
     ----------
     version : int
-        Grows with each change; 0 is the empty table before the first.
+        Increases with each change; 0 for the empty initial table.
     routes : dict of bytes to Route
-        By endpoint, see `Packet.endpoint`.
+        Routes by endpoint, see `Packet.endpoint`.
     idle_timeout : float
-        Seconds of silence after which a flow may be forgotten.
+        Seconds without packets after which a flow may be dropped.
     """
 
     version: int = 0
@@ -59,7 +59,8 @@
 def choose_service(route: Route, flow: bytes) -> str:
     """Return the service for a new flow, by the weights of the route.
 
-    Each copy of an opening packet gets the same service at any balancer.
+    The choice depends only on the flow, so retransmitted SYNs get the same service
+    at any balancer.
 
     Examples
     --------
@@ -78,5 +79,5 @@
 
 
 def is_newer(offered: ForwardingTable, current: ForwardingTable) -> bool:
-    """Whether a table may replace the one in force; none is ever taken back."""
+    """Whether a table may replace the current one; versions never go back."""
     return offered.version > current.version
--- a/shedsill/datagram/_selection.py
+++ b/shedsill/datagram/_selection.py
@@ -1,4 +1,4 @@
-"""Which upstream is offered a new flow."""
+"""Selection of the upstream that is offered a new flow."""
 
 from __future__ import annotations
 
@@ -10,79 +10,80 @@
 from shedsill.datagram._messages import NodeReport, UpstreamState
 
 ZONE_PENALTY = 0.75
-"""Fullness (busy requests per slot) that an upstream of the balancer's own
-availability zone may have above a remote one before the remote one is taken;
-below 1, so that a free remote slot comes before a queue."""
+"""Utilization (busy requests per slot) added for upstreams in other availability zones;
+below 1, so that a free remote slot is preferred to a local queue."""
 
 PREFERRED_HOST_COUNT = 4
-"""Near agents preferred for a flow.  Choosing the least full of a few drawn at
-random is nearly as even as choosing among all, and less prone to many balancers
-running after the same report."""
+"""Agents in the balancer's zone that are preferred for a flow.  Choosing the least
+loaded of a few random ones spreads load nearly as evenly as choosing among all, and
+keeps many balancers from picking the same agent at once."""
 
 UNPREFERRED_PENALTY = 0.5
-"""Fullness by which the preferred ones must exceed another near one before that
-is taken: one request on an upstream of two slots."""
+"""Utilization added for agents in the same zone that are not preferred."""
 
 HASH_MULTIPLIER = 0x9E37_79B1
 """Multiplier that breaks the linearity of CRC-32 (2**32 over the golden ratio)."""
 
 BULK_ZONE_PENALTY = 4.0
-"""The same for routes with large bodies, whose octets cost more than a wait."""
+"""The same as `ZONE_PENALTY` for routes with large bodies, whose transfer between zones
+costs more than a delay."""
 
 COLD_SLOWDOWN_FACTOR = 1.6
-"""How much slower an upstream works just after its start, as the operators of the
-upstreams say; what agents observe is not told to balancers."""
+"""How much slower an upstream works just after its start."""
 
 OFFER_WINDOW_SECONDS = 0.15
-"""Seconds for which an offered flow counts as a busy request, beside what the
-agent reports: an opening's report comes before its request does."""
+"""Time for which an offered flow counts as a busy request, in addition to the agent's
+report, which does not include its request yet."""
 
 LOAD_FRESHNESS_SECONDS = 0.2
-"""Seconds over which a reported count of busy requests gives way to its
-average: longer than a short request of 0.05 to 0.1 s takes."""
+"""Time over which the reported count of busy requests is replaced by its average;
+longer than a short request."""
 
 REFUSAL_BACKOFF_SECONDS = 0.3
-"""Seconds without openings for an upstream that has refused one: it is leaving,
-full, or not up yet, and each further try costs its caller a round trip."""
+"""Time for which an upstream that has refused a flow is avoided; each refusal costs a
+caller one round trip."""
 
 DEFAULT_SLOTS = 1
-"""Slots assumed of an upstream of which neither a heartbeat nor an earlier report
-has told: the fewest that it can have, so that it never gets more than it takes."""
+"""Slots assumed while the agent has not reported any: the minimum, so that the upstream
+is not overloaded."""
 
 ACCEPTING_STATES = (UpstreamState.READY, UpstreamState.UNKNOWN)
+"""States in which an upstream may be offered new flows."""
 
 
 class UpstreamView(Struct):
-    """What a balancer knows of one agent and its upstream.
+    """State of one agent and its upstream, as a balancer knows it.
 
     Attributes
     ----------
+    report : NodeReport
+        Latest known report of the agent.
     last_heard_at : float
-        When the agent's last message came.
+        When the agent's last message arrived; 0 if there was none.
     recent_offers : list of float
-        When flows were offered lately, see `OFFER_WINDOW_SECONDS`.
+        Times of recently offered flows, see `OFFER_WINDOW_SECONDS`.
     avoided_until : float
-        Until when its agent asks for no flows, see `Load.avoided`.
+        Until when its agent asks to be avoided, see `Load.avoided`.
     refused_until : float
-        Until when it is passed over because it has refused a flow.
+        Until when it is avoided because it has refused a flow.
     silent_since : float or None
-        When the first of the questions was sent that it has not answered.
+        When the first unanswered probe was sent or scheduled; None if there is none.
     last_probe_at : float
-        When it was last asked.
+        When it was last probed.
     unanswered_probes : int
-        Questions sent since `silent_since`.
+        Probes sent since `silent_since`.
     suspect : bool
-        Whether it left an offered flow or a probe unanswered.
+        Whether it left an offered flow, a search or a probe unanswered.
     lost : bool
-        Whether it has been silent for so long that its flows were given up.
+        Whether it was silent for so long that its flows were reset.
     lost_at : float
-        When that was.
+        When it was given up.
     confirmed_incarnation : int
-        The incarnation that the agent itself told last; 0 where it has not.
+        Incarnation last reported by the agent itself; 0 if there is none.
     reported_incarnation : int
-        Another incarnation that others have told of since.
+        Another incarnation reported indirectly since.
     confirmed_boot : str
-        The upstream's run as the agent itself told it last; empty where it has not.
+        Upstream boot last reported by the agent itself; empty if there is none.
     """
 
     report: NodeReport
@@ -102,7 +103,7 @@
 
 
 def hash_service(service: str) -> int:
-    """Return the 32-bit number that packets between nodes carry of a service."""
+    """Return the 32-bit identifier of a service in packets between nodes."""
     return zlib.crc32(service.encode())
 
 
@@ -113,7 +114,7 @@
 
 
 def count_recent_offers(view: UpstreamView, now: float) -> int:
-    """Return the flows offered within `OFFER_WINDOW_SECONDS`; drop older ones."""
+    """Drop offers older than `OFFER_WINDOW_SECONDS` and count the others."""
     offers = view.recent_offers
     while offers and now - offers[0] > OFFER_WINDOW_SECONDS:
         del offers[0]
@@ -121,10 +122,10 @@
 
 
 def compute_utilization(view: UpstreamView, now: float) -> float:
-    """Return the requests per slot that a new flow would meet.
+    """Return the estimated busy requests per slot of an upstream.
 
-    A count that has just been reported stands as it is; an older one gives way
-    to the average over a second.
+    A fresh count of busy requests is used as it is; with its age it is replaced by the
+    reported average.
     """
     load = view.report.load
     freshness = max(1.0 - (now - view.last_heard_at) / LOAD_FRESHNESS_SECONDS, 0.0)
@@ -144,35 +145,39 @@
     flow: bytes,
     now: float,
 ) -> UpstreamView | None:
-    """Return the upstream for a new flow, or None if there is none.
+    """Return the best upstream for a new flow, or None if there is none.
 
     Parameters
     ----------
     views : iterable of UpstreamView
         Upstreams of the service.
     zone : str
-        The balancer's availability zone, which is the caller's.
+        Availability zone of the balancer, which is also the caller's.
     bulk : bool
         Whether the route carries large bodies.
     excluded : collection of str
-        Hosts that were offered the flow before.
+        Hosts that were already offered the flow.
     flow : bytes
-        Key of the flow; breaks ties.
+        Key of the flow; decides between upstreams of equal utilization.
     """
-    takers = [v for v in views if can_accept_flows(v) and v.report.host not in excluded]
-    preferred = list_preferred_hosts((v.report for v in takers), zone=zone, flow=flow)
-    far = BULK_ZONE_PENALTY if bulk else ZONE_PENALTY
+    candidates = [
+        v for v in views if can_accept_flows(v) and v.report.host not in excluded
+    ]
+    preferred = list_preferred_hosts(
+        (v.report for v in candidates), zone=zone, flow=flow
+    )
+    zone_penalty = BULK_ZONE_PENALTY if bulk else ZONE_PENALTY
     best: UpstreamView | None = None
     best_score = (True, 0.0, 0)
-    for view in takers:
+    for view in candidates:
         report = view.report
         avoided = view.suspect or now < max(view.refused_until, view.avoided_until)
-        fullness = compute_utilization(view, now)
+        utilization = compute_utilization(view, now)
         if report.zone != zone:
-            fullness += far
+            utilization += zone_penalty
         elif report.host not in preferred:
-            fullness += UNPREFERRED_PENALTY
-        score = (avoided, fullness, compute_host_weight(flow, report.host))
+            utilization += UNPREFERRED_PENALTY
+        score = (avoided, utilization, compute_host_weight(flow, report.host))
         if best is None or score < best_score:
             best, best_score = view, score
     return best
@@ -181,17 +186,17 @@
 def list_preferred_hosts(
     reports: Iterable[NodeReport], *, zone: str, flow: bytes
 ) -> tuple[str, ...]:
-    """Return the few near agents where a flow is placed if load allows.
+    """Return the agents in a zone that are preferred for a flow.
 
-    They depend on the flow and the agents only (rendezvous hashing), so that any
-    balancer knows where to look first for a flow that it does not know.
+    They depend only on the flow and the agents (rendezvous hashing), so that any
+    balancer can search for an unknown flow there first.
     """
-    near = [report.host for report in reports if report.zone == zone]
-    near.sort(key=lambda host: compute_host_weight(flow, host))
-    return tuple(near[:PREFERRED_HOST_COUNT])
+    zone_hosts = [report.host for report in reports if report.zone == zone]
+    zone_hosts.sort(key=lambda host: compute_host_weight(flow, host))
+    return tuple(zone_hosts[:PREFERRED_HOST_COUNT])
 
 
 def compute_host_weight(flow: bytes, host: str) -> int:
-    """Return a number that is evenly spread over flows and hosts."""
-    mixed = zlib.crc32(host.encode(), zlib.crc32(flow))
-    return mixed * HASH_MULTIPLIER % (1 << 32)
+    """Return a uniformly distributed hash of a flow and a host."""
+    checksum = zlib.crc32(host.encode(), zlib.crc32(flow))
+    return checksum * HASH_MULTIPLIER % (1 << 32)
