--- a/shedsill/tests/test_datagram_flows.py
+++ b/shedsill/tests/test_datagram_flows.py
@@ -1,4 +1,4 @@
-"""Opaque flows through faults and planned steps, with the real reducers."""
+"""Opaque flows during faults and planned operations, with the real reducers."""
 
 from __future__ import annotations
 
@@ -37,42 +37,42 @@
 
 
 def open_flow(world: World, balancer: str = B1) -> Caller:
-    """Return a caller whose flow is open and whose request is at work."""
+    """Return a caller with an open flow and a running request."""
     caller = world.call("dispatcher", balancer)
     world.run(0.02)
     assert caller.open and world.find_holder(caller)
     return caller
 
 
-def count(world: World, event: LogEvent) -> int:
+def count_events(world: World, event: LogEvent) -> int:
     return sum(note.event == event for _host, note in world.notes)
 
 
-def test_a_request_is_answered(world: World) -> None:
+def test_request_is_answered(world: World) -> None:
     caller = world.call("dispatcher", B1)
     world.run(0.2)
     assert caller.outcome == "answered"
 
 
-def test_each_service_gets_its_own_flows(world: World) -> None:
+def test_services_get_only_their_own_flows(world: World) -> None:
     callers = [world.call(s, B1) for s in ("dispatcher", "intake") * 5]
     world.run(0.5)
     assert [c.outcome for c in callers] == ["answered"] * 10
     assert len(world.upstreams[OTHER].runs) == 5
 
 
-def test_another_balancer_finds_the_flow(world: World) -> None:
+def test_flow_moved_to_another_balancer_is_found(world: World) -> None:
     caller = open_flow(world)
     world.routers[caller.flow] = B2
     world.run(0.01)
     caller.send_request()
     world.run(0.01)
-    assert count(world, LogEvent.FLOW_FOUND) == 1
+    assert count_events(world, LogEvent.FLOW_FOUND) == 1
     world.run(0.2)
     assert caller.outcome == "answered"
 
 
-def test_a_restarted_balancer_finds_the_flow(world: World) -> None:
+def test_flow_is_found_by_restarted_balancer(world: World) -> None:
     caller = open_flow(world)
     world.kill(B1)
     world.add_balancer(B1)
@@ -82,7 +82,7 @@
     assert not world.resets
 
 
-def test_a_restarted_agent_learns_its_flows_again(world: World) -> None:
+def test_flow_is_recovered_by_restarted_agent(world: World) -> None:
     caller = open_flow(world)
     world.kill(world.find_holder(caller))
     world.run(0.05)
@@ -92,7 +92,7 @@
     assert not world.resets
 
 
-def test_all_nodes_killed_at_once_keep_living_flows(world: World) -> None:
+def test_live_flow_is_kept_after_restart_of_all_nodes(world: World) -> None:
     caller = open_flow(world)
     for host in (A1, A2, OTHER, B1, B2):
         world.kill(host)
@@ -106,14 +106,14 @@
     assert not world.resets
 
 
-def test_a_flow_of_a_crashed_upstream_is_reset(world: World) -> None:
+def test_flow_of_crashed_upstream_is_reset(world: World) -> None:
     caller = open_flow(world)
     world.crash_upstream(world.find_holder(caller))
     world.run(1.2)
     assert caller.outcome == "reset"
 
 
-def test_an_idle_caller_is_freed_when_the_upstream_restarts(world: World) -> None:
+def test_idle_flow_is_reset_when_upstream_restarts(world: World) -> None:
     caller = open_flow(world)
     host = world.find_holder(caller)
     world.crash_upstream(host)
@@ -123,7 +123,7 @@
     assert caller.outcome == "reset"
 
 
-def test_balancers_free_the_flows_of_a_restarted_vm(world: World) -> None:
+def test_flow_is_reset_when_agent_and_upstream_restart(world: World) -> None:
     caller = open_flow(world)
     host = world.find_holder(caller)
     world.kill(host)
@@ -135,7 +135,7 @@
     assert caller.outcome == "reset"
 
 
-def test_flows_of_a_silent_vm_are_given_up(world: World) -> None:
+def test_flow_of_silent_vm_is_reset(world: World) -> None:
     caller = open_flow(world)
     world.cut.add(world.find_holder(caller))
     world.upstreams[world.find_holder(caller)].alive = False
@@ -145,7 +145,7 @@
     assert caller.outcome == "reset"
 
 
-def test_a_stopping_agent_keeps_its_flows_through_a_silence(world: World) -> None:
+def test_flow_of_stopping_agent_is_kept_while_it_is_silent(world: World) -> None:
     caller = open_flow(world)
     world.stop(world.find_holder(caller))
     world.run(0.01)
@@ -157,8 +157,8 @@
     assert caller.outcome == "answered"
 
 
-def test_a_stopped_agent_that_never_comes_back_is_given_up(world: World) -> None:
-    """Found on an incident: its VM was taken away, and each search waited for it."""
+def test_stopped_agent_that_never_returns_is_given_up(world: World) -> None:
+    """Searches must not wait for an agent whose VM was removed after its stop."""
     world.stop(OTHER)
     world.run(0.2)
     world.kill(OTHER)
@@ -176,7 +176,7 @@
     assert caller.outcome == "reset"
 
 
-def test_an_agent_that_has_no_upstream_leaves_nothing_when_it_stops(
+def test_stopping_agent_without_upstream_stores_no_report(
     world: World,
 ) -> None:
     world.leave(A2)
@@ -192,14 +192,14 @@
     )
 
 
-def test_an_opening_goes_on_when_its_first_upstream_is_silent(world: World) -> None:
+def test_syn_is_offered_again_when_first_upstream_is_silent(world: World) -> None:
     world.upstreams[A1].alive = False
     callers = [world.call("dispatcher", B1) for _ in range(6)]
     world.run(0.3)
     assert [c.outcome for c in callers] == ["answered"] * 6
 
 
-def test_a_refused_opening_goes_to_another_upstream_at_once(world: World) -> None:
+def test_refused_syn_is_offered_to_another_upstream_at_once(world: World) -> None:
     world.upstreams[A1].refusing = True
     callers = [world.call("dispatcher", B1) for _ in range(6)]
     world.run(0.3)
@@ -207,7 +207,7 @@
     assert all(world.find_holder(caller) == A2 for caller in callers)
 
 
-def test_an_opening_that_nobody_takes_is_reset_at_once(world: World) -> None:
+def test_flow_refused_by_all_upstreams_is_reset_at_once(world: World) -> None:
     for host in (A1, A2):
         world.upstreams[host].refusing = True
     caller = world.call("dispatcher", B1)
@@ -216,7 +216,7 @@
     assert not any(world.upstreams[host].runs for host in (A1, A2))
 
 
-def test_no_opening_reaches_a_draining_upstream(world: World) -> None:
+def test_draining_upstream_gets_no_syn(world: World) -> None:
     world.drain_upstream(A1)
     callers = [world.call("dispatcher", B1) for _ in range(4)]
     world.run(0.3)
@@ -225,8 +225,8 @@
     assert not world.upstreams[A1].runs
 
 
-def test_an_agent_refuses_for_a_draining_upstream_by_itself(world: World) -> None:
-    """Even a balancer that has not heard of it sends nothing to the upstream."""
+def test_agent_refuses_flows_of_draining_upstream(world: World) -> None:
+    """The balancer has not received the report that the upstream drains."""
     world.cut.add(B1)
     world.drain_upstream(A1)
     world.run(0.01)
@@ -238,15 +238,15 @@
     assert not world.upstreams[A1].offered
 
 
-def test_open_flows_of_a_draining_upstream_are_served(world: World) -> None:
+def test_open_flow_of_draining_upstream_is_served(world: World) -> None:
     caller = open_flow(world)
     world.drain_upstream(world.find_holder(caller))
     world.run(0.3)
     assert caller.outcome == "answered"
 
 
-def test_an_address_taken_over_by_another_service_gets_nothing(world: World) -> None:
-    """The oracle raises if an opening reaches the wrong service."""
+def test_host_reused_by_another_service_gets_no_flow(world: World) -> None:
+    """The world fails if a SYN reaches the wrong service."""
     world.kill(A1)
     world.crash_upstream(A1)
     del world.upstreams[A1]
@@ -256,7 +256,7 @@
     assert [c.outcome for c in callers] == ["answered"] * 4
 
 
-def test_an_older_table_never_comes_back(world: World) -> None:
+def test_older_table_is_ignored(world: World) -> None:
     newer = world.make_table(5, without="intake")
     world.change_table(newer, (B1,))
     world.change_table(world.make_table(4), (B1,))
@@ -266,7 +266,7 @@
     assert world.nodes[B1].table.version == 5
 
 
-def test_a_table_spreads_without_the_store(world: World) -> None:
+def test_table_is_pulled_from_peer_without_store(world: World) -> None:
     world.change_table(world.make_table(7), (B1,))
     world.run(TABLE_PULL_DELAY_SECONDS / 2)
     assert world.nodes[B2].table.version == 1
@@ -274,7 +274,7 @@
     assert world.nodes[B2].table.version == 7
 
 
-def test_flows_of_a_dropped_route_end(world: World) -> None:
+def test_flow_of_removed_route_is_reset(world: World) -> None:
     caller = open_flow(world)
     world.upstreams[world.find_holder(caller)].flows.clear()
     world.change_table(world.make_table(2, without="dispatcher"), (B1,))
@@ -282,19 +282,19 @@
     assert caller.outcome == "reset"
 
 
-def test_a_stopping_balancer_still_moves_packets(world: World) -> None:
+def test_stopping_balancer_still_forwards_packets(world: World) -> None:
     caller = open_flow(world)
     world.stop(B1)
     assert not world.nodes[B1].ready
     world.run(0.3)
     assert caller.outcome == "answered"
-    late = world.call("dispatcher", B1)
+    later_caller = world.call("dispatcher", B1)
     world.run(0.3)
-    assert late.outcome == "answered"
+    assert later_caller.outcome == "answered"
 
 
-def test_nodes_meet_without_the_store(world: World) -> None:
-    """A new agent is known to the balancers that its seeds name."""
+def test_new_agent_is_known_to_seed_without_store(world: World) -> None:
+    """A new agent announces itself to its seeds during an outage of the store."""
     world.store_up = False
     state = world.add_agent(A3, "dispatcher", first=True)
     state.seeds = (B1,)
@@ -307,7 +307,7 @@
     assert A3 in world.nodes[B1].nodes.upstreams
 
 
-def test_a_flow_found_nowhere_is_reset_once_all_have_answered(world: World) -> None:
+def test_flow_denied_by_all_agents_is_reset(world: World) -> None:
     caller = open_flow(world)
     upstream = world.upstreams[world.find_holder(caller)]
     upstream.flows.clear()
@@ -319,7 +319,7 @@
     assert caller.outcome == "reset"
 
 
-def test_state_is_bounded_after_the_flows_have_ended(world: World) -> None:
+def test_state_of_ended_flows_is_removed(world: World) -> None:
     for _ in range(50):
         world.call("dispatcher", B1)
     world.run(30.0)
@@ -329,8 +329,8 @@
     assert not world.nodes[B1].resets
 
 
-def test_a_balancer_that_is_cut_off_gives_nobody_up(world: World) -> None:
-    """Found on a played day: one cut balancer reset the flows of 18 upstreams."""
+def test_isolated_balancer_gives_up_no_agent(world: World) -> None:
+    """A balancer that is cut off must not reset the flows of live upstreams."""
     caller = open_flow(world)
     world.run(0.3)
     assert caller.outcome == "answered"
@@ -339,7 +339,7 @@
     world.run(2.0)
     assert not world.nodes[B1].ready
     world.run(1.0)
-    assert count(world, LogEvent.UPSTREAM_LOST) == 0
+    assert count_events(world, LogEvent.UPSTREAM_LOST) == 0
     world.cut.clear()
     assert caller.flow in world.nodes[B1].flows
     caller.send_request()
@@ -348,8 +348,8 @@
     assert world.nodes[B1].ready
 
 
-def test_an_agent_that_the_store_turns_away_is_asked_too(world: World) -> None:
-    """A new balancer learns of it from the others, so its flows are not reset."""
+def test_flow_of_agent_missing_in_store_is_found(world: World) -> None:
+    """A new balancer gets the agent's report from its peers and resets no flow."""
     world.store_up = False
     state = world.add_agent(A3, "dispatcher", first=True)
     state.seeds = (B1,)
@@ -367,7 +367,7 @@
     assert caller.outcome == "answered"
 
 
-def test_the_report_of_a_vm_that_is_gone_is_removed(world: World) -> None:
+def test_report_of_removed_vm_is_deleted(world: World) -> None:
     world.kill(A1)
     world.crash_upstream(A1)
     assert A1 in world.stored
@@ -378,11 +378,11 @@
     assert A1 not in world.nodes[B1].nodes.upstreams
 
 
-def test_a_search_costs_few_octets_after_a_power_loss(world: World) -> None:
-    """Found on played days: each dead flow's packets went to every agent and back.
+def test_search_after_power_failure_forwards_no_packets(world: World) -> None:
+    """Packets of ended flows must not be forwarded to all agents.
 
-    The agents learn from the store that their upstreams have restarted, so that
-    they can deny the flows of before without being given packets.
+    The agents read from the store that their upstreams have restarted, and deny the
+    earlier flows without a packet.
     """
     callers = [world.call("dispatcher", B1) for _ in range(4)]
     world.run(0.02)
@@ -398,10 +398,10 @@
         world.add_balancer(host)
     world.run(0.5)
     assert {caller.outcome for caller in callers} == {"reset"}
-    assert count(world, LogEvent.PACKET_HANDED_BACK) == 0
+    assert count_events(world, LogEvent.PACKET_HANDED_BACK) == 0
 
 
-def test_a_flow_is_tried_once_on_each_unsure_upstream(world: World) -> None:
+def test_flow_is_tried_once_on_each_unsure_agent(world: World) -> None:
     caller = open_flow(world)
     world.upstreams[world.find_holder(caller)].flows.clear()
     for host in (A1, A2):
@@ -413,11 +413,11 @@
         caller.send_request()
     world.run(0.5)
     assert caller.outcome == "reset"
-    assert count(world, LogEvent.PACKET_HANDED_BACK) == 2
+    assert count_events(world, LogEvent.PACKET_HANDED_BACK) == 2
 
 
-def test_a_flow_is_tried_first_where_it_was_placed() -> None:
-    """Found on played days: each of 1,000 flows was tried on each of 43 agents."""
+def test_flow_is_tried_on_preferred_hosts_first() -> None:
+    """Unsure agents are tried in the order of preference, not all at once."""
     world = World(services=("dispatcher",))
     hosts = [f"10.1.0.{n}" for n in range(1, 41)]
     for host in hosts:
@@ -437,7 +437,7 @@
     assert sum(fields["tried"] for fields in found) <= 6 * len(callers)
 
 
-def test_what_nodes_remember_of_each_other_is_bounded(world: World) -> None:
+def test_records_of_other_nodes_expire(world: World) -> None:
     open_flow(world)
     assert B1 in world.nodes[A1].balancers or B1 in world.nodes[A2].balancers
     world.kill(A1)
@@ -460,55 +460,53 @@
     return world
 
 
-def test_near_agents_are_asked_for_a_flow_first(zones: World) -> None:
+def test_agents_in_same_zone_are_searched_first(zones: World) -> None:
     caller = open_flow(zones)
     assert zones.find_holder(caller) == A1
     del zones.nodes[B1].flows[caller.flow]
-    before = zones.count_messages(Locate)
+    messages_before = zones.count_messages(Locate)
     caller.send_request()
     zones.run(0.01)
-    assert count(zones, LogEvent.FLOW_FOUND) == 1
-    assert zones.count_messages(Locate) - before == 1
+    assert count_events(zones, LogEvent.FLOW_FOUND) == 1
+    assert zones.count_messages(Locate) - messages_before == 1
 
 
-def test_a_flow_far_away_is_found_past_a_silent_near_agent(zones: World) -> None:
+def test_flow_in_other_zone_is_found_despite_silent_local_agent(zones: World) -> None:
     caller = open_flow(zones)
     zones.routers[caller.flow] = B2
     zones.nodes.pop(A2)
     caller.send_request()
     zones.run(LOCATE_TIMEOUT_SECONDS + 0.06)
-    assert count(zones, LogEvent.FLOW_FOUND) == 1
+    assert count_events(zones, LogEvent.FLOW_FOUND) == 1
 
 
-def test_a_living_agent_is_not_replaced_by_an_old_report(world: World) -> None:
-    """Found on played days: after a restart of all, balancers read the reports of
-    before from the store, kept to them, and told each other of agents for ever."""
+def test_live_agent_is_not_replaced_by_outdated_report(world: World) -> None:
+    """Guards against balancers that keep an outdated report from the store."""
     balancer = world.nodes[B1]
     view = balancer.nodes.upstreams[A1]
-    old = replace(view.report, incarnation=9_999, boot="i-old")
-    listed = ReportsListed(reports=(old,), complete=True, now=world.now)
+    outdated = replace(view.report, incarnation=9_999, boot="i-old")
+    listed = ReportsListed(reports=(outdated,), complete=True, now=world.now)
     world._dispatch(B1, listed)
-    before = world.count_messages(Roster)
+    messages_before = world.count_messages(Roster)
     world.run(5.0)
     assert view.report.incarnation == world.nodes[A1].report.incarnation
     assert view.report.boot == world.upstreams[A1].boot
-    assert world.count_messages(Roster) == before
+    assert world.count_messages(Roster) == messages_before
 
 
-def test_a_restarted_agent_that_others_tell_of_is_asked(world: World) -> None:
+def test_restarted_agent_reported_indirectly_is_probed(world: World) -> None:
     world.kill(A1)
     state = world.add_agent(A1, "dispatcher")
-    fresh = replace(state.report, serial=1)
-    world._dispatch(B1, ReportsListed(reports=(fresh,), complete=True, now=world.now))
+    current = replace(state.report, serial=1)
+    world._dispatch(B1, ReportsListed(reports=(current,), complete=True, now=world.now))
     world.run(0.2)
     view = world.nodes[B1].nodes.upstreams[A1]
     assert view.report.incarnation == state.report.incarnation
     assert view.confirmed_incarnation == state.report.incarnation
 
 
-def test_a_restart_of_the_upstream_in_an_outage_is_not_proof(world: World) -> None:
-    """Found by random series: the store knew only the run before the outage, so a
-    restarted agent denied the flows that its upstream had taken since."""
+def test_flow_is_kept_after_upstream_restart_during_outage(world: World) -> None:
+    """The store has the boot from before the outage; the current one accepted flows."""
     world.store_up = False
     for host in (A1, A2):
         world.crash_upstream(host)
@@ -527,9 +525,8 @@
     assert caller.outcome == "answered"
 
 
-def test_a_flow_opened_before_the_first_heartbeat_is_kept(world: World) -> None:
-    """Found on an incident: the balancer had the last run's boot from the store, and
-    reset the flow when the first heartbeat told the new one; a claim was lost."""
+def test_flow_opened_before_first_heartbeat_is_kept(world: World) -> None:
+    """The balancer knows only the previous boot, from the store."""
     for host in (A1, A2, B1, B2):
         world.kill(host)
     for host in (A1, A2):
@@ -547,12 +544,12 @@
     assert caller.outcome == "answered"
 
 
-def test_a_bounced_flow_costs_no_search(world: World) -> None:
-    """Its upstream held it, so that no other agent has to be asked."""
+def test_bounced_flow_starts_no_search(world: World) -> None:
+    """Its upstream accepted it, so no other agent can hold it."""
     caller = open_flow(world)
-    asked = world.count_messages(Locate)
+    locates_before = world.count_messages(Locate)
     world.upstreams[world.find_holder(caller)].flows.clear()
     caller.send_request()
     world.run(0.02)
     assert caller.outcome == "reset"
-    assert world.count_messages(Locate) == asked
+    assert world.count_messages(Locate) == locates_before
--- a/shedsill/tests/test_datagram_reading.py
+++ b/shedsill/tests/test_datagram_reading.py
@@ -1,12 +1,7 @@
-"""Readings of the store by many balancers while nodes come and go.
+"""Reads of node reports from the store.
 
-Pattern: agents or upstreams restart in turn, about one a second for a while, as in a
-release of a service, before any number of balancers.  Read every 2 s by each balancer,
-the reports cost calls in proportion to balancers times seconds; on one deployment of 12
-balancers 221 of 626 calls of the store were these.  Direct news tells nearly all of it.
-
-What must not be lost by reading less: a flow whose agent is known to the store only is
-found, not reset.
+Guards against calls that grow with the number of balancers, and against resets of flows
+whose agents only the store knows.
 """
 
 from __future__ import annotations
@@ -27,12 +22,12 @@
 
 B1, B2 = "10.0.0.1", "10.0.0.2"
 A1, A2 = "10.1.0.1", "10.1.0.2"
-LONG = 1000
+MANY_REQUESTS = 1000
 
 
 @pytest.fixture
 def world() -> World:
-    """Two balancers, of which the second one's watch rests, and one upstream."""
+    """Two balancers, the second without an active watch, and one upstream."""
     world = World(services=("dispatcher",))
     world.add_agent(A1, "dispatcher", first=True)
     for host in (B1, B2):
@@ -42,23 +37,23 @@
     return world
 
 
-def hide(world: World, agent: str, balancer: str) -> None:
-    """Lose all that an agent and others tell a balancer, until it asks."""
+def drop_announcements(world: World, agent: str, balancer: str) -> None:
+    """Drop all messages that announce an agent to a balancer before it knows it."""
 
     def is_lost(source: str, host: str) -> bool:
-        asked = agent in world.nodes[balancer].nodes.upstreams
-        return host == balancer and source in (agent, B1) and not asked
+        is_known = agent in world.nodes[balancer].nodes.upstreams
+        return host == balancer and source in (agent, B1) and not is_known
 
     world.is_lost = is_lost
 
 
-def test_a_flow_of_an_agent_that_only_the_store_knows_is_found(world: World) -> None:
-    hide(world, A2, B2)
+def test_flow_of_agent_known_only_to_store_is_found(world: World) -> None:
+    drop_announcements(world, A2, B2)
     world.add_agent(A2, "dispatcher", first=True)
     world.run(3.0)
     assert A2 not in world.nodes[B2].nodes.upstreams
     world.nodes[B1].nodes.upstreams[A1].refused_until = world.now + 1.0
-    caller = world.call("dispatcher", B1, requests=LONG)
+    caller = world.call("dispatcher", B1, requests=MANY_REQUESTS)
     world.run(0.1)
     assert world.find_holder(caller) == A2
     world.routers[caller.flow] = B2
@@ -68,9 +63,11 @@
 
 
 @pytest.mark.parametrize("store_up", [True, False])
-def test_a_flow_that_nobody_holds_is_reset_soon(world: World, store_up: bool) -> None:
-    """Callers wait for a read, or `READ_TIMEOUT_SECONDS` where the store is away."""
-    caller = world.call("dispatcher", B1, requests=LONG)
+def test_flow_without_holder_is_reset_in_bounded_time(
+    world: World, store_up: bool
+) -> None:
+    """The reset waits for a read, or for `READ_TIMEOUT_SECONDS` in an outage."""
+    caller = world.call("dispatcher", B1, requests=MANY_REQUESTS)
     world.run(3.0)
     world.store_up = store_up
     world.routers[caller.flow] = B2
@@ -82,11 +79,11 @@
     assert caller.outcome == "reset"
 
 
-def test_a_service_that_only_the_store_knows_is_found_by_an_opening(
+def test_syn_for_service_known_only_to_store_is_answered(
     world: World,
 ) -> None:
-    """Its upstreams were all replaced, and nobody could tell this balancer."""
-    hide(world, A2, B2)
+    """All upstreams of the service were replaced without a message to this balancer."""
+    drop_announcements(world, A2, B2)
     world.add_agent(A2, "dispatcher", first=True)
     world.leave(A1)
     world.run(3.0)
@@ -95,7 +92,7 @@
     assert caller.outcome == "answered"
 
 
-def test_the_collector_tells_the_others_what_the_store_told_it(world: World) -> None:
+def test_collector_relays_agents_read_from_store(world: World) -> None:
     state = world.nodes[B2]
     report = NodeReport(
         host=A2,
@@ -111,8 +108,8 @@
     assert A2 in state.nodes.upstreams
 
 
-def test_a_report_that_was_removed_late_is_written_again(world: World) -> None:
-    """The last run's removal was under way when this run found its report."""
+def test_report_removed_by_previous_incarnation_is_stored_again(world: World) -> None:
+    """A removal by the previous incarnation is applied after the restart."""
     world.kill(B2)
     world.add_balancer(B2)
     world.run(0.1)
@@ -122,38 +119,38 @@
     assert world.stored[B2].host == B2
 
 
-def count_readings(*, seconds: int, first: bool) -> int:
-    """Count the watches of one balancer while reports change every second."""
-    reading = ReportPolling()
+def count_reads(*, seconds: int, is_collector: bool) -> int:
+    """Return the watches of one balancer while reports change every second."""
+    polling = ReportPolling()
     count = 0
-    due = 0.0
+    next_at = 0.0
     for now in range(seconds):
-        if now >= due:
+        if now >= next_at:
             count += 1
-            record_read(reading, now, unknown=False, is_collector=first)
-            due = now + reading.interval
+            record_read(polling, now, unknown=False, is_collector=is_collector)
+            next_at = now + polling.interval
     return count
 
 
-def test_restarts_in_turn_cost_few_readings() -> None:
-    """All but one of the balancers read a quarter as often or less."""
-    often = count_readings(seconds=60, first=True)
-    seldom = count_readings(seconds=60, first=False)
-    assert often == 30
-    assert seldom * 4 <= often
+def test_polling_backs_off_without_unknown_nodes() -> None:
+    """All balancers but the collector read a quarter as often or less."""
+    collector_reads = count_reads(seconds=60, is_collector=True)
+    other_reads = count_reads(seconds=60, is_collector=False)
+    assert collector_reads == 30
+    assert other_reads * 4 <= collector_reads
 
 
-def test_an_unknown_node_has_the_store_read_soon_again() -> None:
-    reading = ReportPolling()
+def test_unknown_node_resets_polling_interval() -> None:
+    polling = ReportPolling()
     for now in range(10):
-        record_read(reading, now, unknown=False, is_collector=False)
-    assert reading.interval == _report_polling.MAX_POLL_INTERVAL_SECONDS
-    record_read(reading, 10.0, unknown=True, is_collector=False)
-    assert reading.interval == _report_polling.MIN_POLL_INTERVAL_SECONDS
+        record_read(polling, now, unknown=False, is_collector=False)
+    assert polling.interval == _report_polling.MAX_POLL_INTERVAL_SECONDS
+    record_read(polling, 10.0, unknown=True, is_collector=False)
+    assert polling.interval == _report_polling.MIN_POLL_INTERVAL_SECONDS
 
 
 class CountingPlatform:
-    """A store in memory that notes the patience of each watch."""
+    """A store in memory that records the patience of each watch."""
 
     def __init__(self) -> None:
         self._platform = MemoryPlatform()
@@ -165,8 +162,8 @@
         return await self._platform.call(call)
 
 
-def test_a_rest_that_is_cut_short_reads_what_has_changed_so_far() -> None:
-    """Then the rest begins anew, without another watch in between."""
+def test_interrupted_rest_reads_changes_so_far() -> None:
+    """The rest then starts again, without another watch in between."""
     platform = CountingPlatform()
     rests = iter([0.01, 30.0])
 
--- a/shedsill/tests/test_datagram_restarts.py
+++ b/shedsill/tests/test_datagram_restarts.py
@@ -1,13 +1,6 @@
-"""Flows that a restarted upstream takes before its first heartbeat.
+"""Flows that a restarted upstream accepts before its first heartbeat.
 
-Seen: an agent reset an open flow 5 ms after its upstream had taken it.  The upstream
-had just been started again; it took the flow before its first heartbeat reached the
-agent, and the heartbeat made the agent free every flow that it knew.  What proved it:
-the store's log has the report of the new run 3 ms after the reset, and the series
-below ends in the same reset.
-
-Agents and balancers both note flows under the run that they know, so both have to
-tell such flows from those of the run that has ended.
+Guards against resetting them together with the flows of the ended boot.
 """
 
 from __future__ import annotations
@@ -21,8 +14,8 @@
 
 B1, B2 = "10.0.0.1", "10.0.0.2"
 A1 = "10.1.0.1"
-LONG = 12
-"""Requests on a flow that outlives what is done to it here."""
+MANY_REQUESTS = 12
+"""Requests on a flow that lasts longer than a test."""
 
 
 @pytest.fixture
@@ -37,24 +30,24 @@
 
 
 def restart_upstream(world: World) -> None:
-    """Start a new run while nobody has noticed that the last one has ended."""
+    """Start a new boot before any node has noticed the end of the previous one."""
     world.crash_upstream(A1)
     world.run(0.3)
     world.start_upstream(A1, "dispatcher")
 
 
 def open_flow(world: World) -> Caller:
-    caller = world.call("dispatcher", B1, requests=LONG)
+    caller = world.call("dispatcher", B1, requests=MANY_REQUESTS)
     world.run(0.01)
     assert caller.open
     return caller
 
 
 @pytest.mark.parametrize("delay", [0.0, 0.1, 1.0])
-def test_a_flow_taken_before_the_first_heartbeat_lives(
+def test_flow_accepted_before_first_heartbeat_is_kept(
     world: World, delay: float
 ) -> None:
-    """The heartbeat may be late: the agent's VM may stand still meanwhile."""
+    """The heartbeat may be late if the agent's VM is paused."""
     restart_upstream(world)
     caller = open_flow(world)
     world.run(delay)
@@ -63,7 +56,7 @@
     assert caller.outcome == "answered"
 
 
-def test_it_lives_where_the_first_heartbeat_was_lost(world: World) -> None:
+def test_flow_is_kept_when_first_heartbeat_is_lost(world: World) -> None:
     restart_upstream(world)
     caller = open_flow(world)
     world.upstreams[A1].beats += 1
@@ -73,7 +66,7 @@
     assert caller.outcome == "answered"
 
 
-def test_it_lives_through_a_later_restart_of_the_agent(world: World) -> None:
+def test_flow_is_kept_through_later_restart_of_agent(world: World) -> None:
     restart_upstream(world)
     caller = open_flow(world)
     world._send_beat(A1)
@@ -87,7 +80,7 @@
     assert caller.outcome == "answered"
 
 
-def test_the_flows_of_the_ended_run_are_reset(world: World) -> None:
+def test_flows_of_ended_boot_are_reset(world: World) -> None:
     caller = open_flow(world)
     world.run(2.0)
     restart_upstream(world)
@@ -96,8 +89,8 @@
     assert caller.outcome == "reset"
 
 
-def test_a_caller_at_work_as_the_run_ended_is_freed_at_once(world: World) -> None:
-    """Its flow was taken after the last heartbeat of the run that ended."""
+def test_new_flow_of_ended_boot_is_reset_at_first_heartbeat(world: World) -> None:
+    """The flow was accepted after the last heartbeat of the ended boot."""
     caller = open_flow(world)
     restart_upstream(world)
     world._send_beat(A1)
@@ -105,8 +98,8 @@
     assert caller.outcome == "reset"
 
 
-def test_an_answer_that_names_a_flow_twice_is_taken(world: World) -> None:
-    """Found by the soak: a flow that was asked for twice ended a balancer's process."""
+def test_answer_listing_a_flow_twice_resets_it(world: World) -> None:
+    """A flow that was requested twice may be listed twice in the answer."""
     caller = open_flow(world)
     state = world.nodes[B1]
     state.flows[caller.flow].unverified = True
@@ -118,8 +111,8 @@
     assert caller.outcome == "reset"
 
 
-def test_a_doubted_flow_is_asked_for_until_its_agent_answers(world: World) -> None:
-    """The first question was lost, and the caller has nothing left to send."""
+def test_unverified_flow_is_requested_until_its_agent_answers(world: World) -> None:
+    """The first request was lost, and the caller sends no further packet."""
     caller = open_flow(world)
     world.routers[caller.flow] = "nowhere"
     world.nodes[B1].flows[caller.flow].unverified = True
@@ -132,20 +125,18 @@
 A2 = "10.1.0.2"
 
 
-def test_a_flow_that_chose_another_upstream_is_not_reset_by_this_one(
+def test_flow_at_another_upstream_is_not_reset_by_restarted_one(
     world: World,
 ) -> None:
-    """Found by the soak (seed 41): the word of who took the flow came late.
+    """Both agents that were offered the SYN get the caller's next packet.
 
-    The balancer did not know yet whom its caller had chosen, and gave the first packet
-    to both agents that had been offered the flow.  One's upstream had ended without an
-    answer; its next run made the agent reset a flow that lived at the other one.
+    The agent whose upstream ended without an answer must not reset the flow.
     """
     world.add_agent(A2, "dispatcher", first=True)
     world.run(3.0)
     world.crash_upstream(A1)
     world.nodes[B1].nodes.upstreams[A2].refused_until = world.now + 0.05
-    caller = world.call("dispatcher", B1, requests=LONG)
+    caller = world.call("dispatcher", B1, requests=MANY_REQUESTS)
     world.run(0.05)
     assert A1 in world.nodes[B1].flows[caller.flow].offered
     world.is_lost = lambda source, host: (source, host) == (A2, B1)
