--- a/shedsill/tests/test_datagram_tables.py
+++ b/shedsill/tests/test_datagram_tables.py
@@ -1,4 +1,4 @@
-"""How balancers read a forwarding table from each other."""
+"""Forwarding tables that balancers pull from each other."""
 
 from __future__ import annotations
 
@@ -26,25 +26,25 @@
 from shedsill.testing.ports import find_ports
 
 ROUTES = 1_646
-READERS = 22
-THIN_LINK = 5_000_000 / 8
-"""Octets a second."""
-DEAF_LIMIT = 0.5
-"""Seconds for which tables may fill a thin link: below the time after which an agent
-that is not heard is asked."""
+PULLS = 22
+LINK_BYTES_PER_SECOND = 5_000_000 / 8
+"""Bandwidth in bytes per second."""
+SATURATION_SECONDS = 0.5
+"""Time for which tables may saturate the link: not above the time after which a silent
+agent is probed."""
 
 
 def make_table(routes: int) -> dict:
-    """Return a table with names that compress as badly as drawn ones do."""
-    draw = random.Random(7)
+    """Return a table with random names, which compress badly."""
+    rng = random.Random(7)
     return {
         "version": 11,
         "routes": [
             {
-                "name": f"r{draw.getrandbits(40):x}",
-                "host": f"198.18.{draw.randrange(9)}.{draw.randrange(255)}",
-                "path_prefix": f"/{draw.choice([80, 443, 8080, 8443])}/",
-                "service": draw.choice(["sevo4a", "nobo86b"]),
+                "name": f"r{rng.getrandbits(40):x}",
+                "host": f"198.18.{rng.randrange(9)}.{rng.randrange(255)}",
+                "path_prefix": f"/{rng.choice([80, 443, 8080, 8443])}/",
+                "service": rng.choice(["sevo4a", "nobo86b"]),
                 "timeout_ms": 4_000,
                 "priority": 2,
             }
@@ -53,23 +53,23 @@
     }
 
 
-def test_many_readers_leave_a_thin_link_to_the_small_messages() -> None:
-    """Seen: 22 readers within 1.1 s, 5.6 MB, and no answer of an agent for 5 s."""
+def test_many_pulls_do_not_saturate_slow_link() -> None:
+    """Guards against pulls that delay the messages between nodes."""
     served = ServedTable()
     served.replace(make_table(ROUTES))
-    answers = [served.get_for_sending(0.05 * number) for number in range(READERS)]
+    answers = [served.get_for_sending(0.05 * number) for number in range(PULLS)]
     sent = sum(len(octets) for octets in answers if octets)
-    assert sent / THIN_LINK < DEAF_LIMIT
-    assert sent / (0.05 * READERS) < 2 * TABLE_BYTES_PER_SECOND
+    assert sent / LINK_BYTES_PER_SECOND < SATURATION_SECONDS
+    assert sent / (0.05 * PULLS) < 2 * TABLE_BYTES_PER_SECOND
 
 
-def test_a_table_is_sent_in_a_fifth_of_its_octets() -> None:
-    """Each reader in another availability zone costs them."""
+def test_table_is_compressed_to_a_fifth() -> None:
+    """Traffic to balancers in other availability zones is costly."""
     value = make_table(ROUTES)
     assert len(compress_table(value)) * 5 < len(msgspec.json.encode(value))
 
 
-def test_all_get_the_table_in_the_end() -> None:
+def test_rejected_pull_succeeds_later() -> None:
     served = ServedTable()
     value = make_table(ROUTES)
     served.replace(value)
@@ -80,7 +80,7 @@
     assert decompress_table(first) == value
 
 
-def test_a_newer_table_takes_the_place_of_the_packed_one() -> None:
+def test_newer_table_replaces_packed_one() -> None:
     served = ServedTable()
     assert served.is_empty
     served.replace({"version": 1})
@@ -99,13 +99,13 @@
         compress_table("x" * (MAX_BODY_BYTES + 1)),
     ],
 )
-def test_what_is_not_a_table_is_refused(octets: bytes) -> None:
+def test_malformed_table_raises_decode_error(octets: bytes) -> None:
     with pytest.raises(DecodeError):
         decompress_table(octets)
 
 
 def make_node(host: str, ports: list[int]) -> BalancerNode:
-    """Return a balancer on a loopback address, with nothing in its store."""
+    """Return a balancer on a loopback address with an empty store."""
     settings = make_settings(host, Role.BALANCER, ports)
     return create_balancer(
         settings,
@@ -117,7 +117,7 @@
 
 
 async def pull_tables(pulls: int) -> tuple[BalancerNode, BalancerNode]:
-    """Have a balancer read another one's table, some times at once."""
+    """Have a balancer pull another one's table several times at once."""
     ports = find_ports(PORTS)
     ahead, behind = (make_node(host, ports) for host in ("127.0.0.2", "127.0.0.3"))
     await ahead.serve(ahead.settings.messages, ahead._handle_peer_request)
@@ -132,13 +132,13 @@
     return ahead, behind
 
 
-def test_a_balancer_reads_the_table_of_another() -> None:
+def test_balancer_pulls_table_from_peer() -> None:
     ahead, behind = asyncio.run(pull_tables(1))
     assert behind.state.table == ahead.state.table
     assert behind.log.counts[LogEvent.TABLE_NOT_READ] == 0
 
 
-def test_a_balancer_that_has_sent_too_many_says_so_at_once() -> None:
+def test_rate_limited_pull_is_rejected_at_once() -> None:
     ahead, behind = asyncio.run(pull_tables(3))
     assert behind.state.table == ahead.state.table
     assert ahead.log.counts[LogEvent.TABLE_SENT] == 1
