--- a/shedsill/datagram/_runtime/__init__.py
+++ b/shedsill/datagram/_runtime/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets, clocks and calls around the reducer for opaque flows."""
+"""Event loop, sockets and store calls around the reducer for opaque flows."""
--- a/shedsill/datagram/_runtime/agent.py
+++ b/shedsill/datagram/_runtime/agent.py
@@ -1,4 +1,4 @@
-"""The agent's loop."""
+"""Event loop of the agent."""
 
 from __future__ import annotations
 
@@ -42,8 +42,8 @@
 HTTP_BAD_REQUEST = 400
 HTTP_CONFLICT = 409
 CHECK_TIMEOUT_SECONDS = 0.5
-"""Seconds in which the port of a living upstream on the same VM takes a
-connection; it is local, and a VM out of quota stands still for 0.1 s."""
+"""Time for a running upstream on the same VM to accept a connection; exceeds the
+0.1 s for which a VM that has used up its CPU quota is paused."""
 
 
 class AgentNode(Node):
@@ -76,7 +76,7 @@
         )
 
     def start_role(self) -> None:
-        """Make the agent known and take heartbeats."""
+        """Start the agent and listen for heartbeats of the upstream."""
         _agent.start_agent(self.state, self.now)
         self.run_in_background(self.reports.read_earlier_report(self.settings.host))
         if self.settings.heartbeats is not None:
@@ -86,11 +86,11 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether the upstream takes new flows."""
+        """Whether the upstream accepts new flows."""
         return can_accept_flows(self.state)
 
     def list_gauges(self) -> list[str]:
-        """Return the lines of figures that go up and down."""
+        """Return the agent's gauges in the Prometheus text format."""
         return [
             "# TYPE shedsill_flows gauge",
             f"shedsill_flows {len(self.state.flows)}",
@@ -99,7 +99,7 @@
         ]
 
     def execute(self, effect: Effect) -> None:
-        """Carry out an effect."""
+        """Execute an effect."""
         match effect:
             case SendToUpstream(packet=packet, balancer=balancer):
                 data = self.codec.encode_for_upstream(packet, balancer)
@@ -141,7 +141,7 @@
             case Heartbeat():
                 self.dispatch(HeartbeatReceived(heartbeat=call, now=self.now))
                 if call.boot != self.state.report.boot:
-                    # Not taken in, so it must not confirm a drain either.
+                    # Rejected, so that it does not confirm a drain.
                     return Response(status=HTTP_CONFLICT, body=b"{}")
             case UpstreamLeaving():
                 self.dispatch(call)
@@ -172,7 +172,7 @@
     platform: Platform,
     heartbeats: HeartbeatCodec,
 ) -> AgentNode:
-    """Return an agent; call it inside the running loop."""
+    """Create an agent; requires a running event loop."""
     state = AgentState(
         report=NodeReport(
             host=settings.host,
--- a/shedsill/datagram/_runtime/balancer.py
+++ b/shedsill/datagram/_runtime/balancer.py
@@ -1,4 +1,4 @@
-"""The balancer's loop."""
+"""Event loop of the balancer."""
 
 from __future__ import annotations
 
@@ -57,29 +57,29 @@
 from shedsill.errors import DecodeError
 
 TABLE_PATH = "/table/deflate"
-"""Where balancers read the table from each other; see `_runtime.tables`."""
+"""Path at which balancers read the forwarding table from each other."""
 
 PULL_TIMEOUT_SECONDS = 1.0
-"""Seconds for reading the table from another balancer."""
+"""Timeout for reading the forwarding table from another balancer."""
 
 WATCH_TIMEOUT_SECONDS = 25.0
-"""Seconds for which a watch waits; each one is a call that is paid for."""
+"""Timeout of a watch; a long one saves store calls."""
 
 COLLECTOR_WATCH_TIMEOUT_SECONDS = 2.0
-"""The same at the collector, which tells the others what it reads.  A store that keeps
-a connection open and never answers is noticed after this time and the margin of a
-watch, in time for a VM that must be in touch 4 s after trouble."""
+"""Timeout of a watch at the collector, which passes the changes on to the others.
+A store that stops answering on an open connection is detected after this time and
+the margin of a watch."""
 
 SHORT_WATCH_TIMEOUT_SECONDS = 0.02
-"""Seconds for which a watch waits that is only to tell what has changed so far."""
+"""Timeout of a watch that only fetches the changes up to now."""
 
 RETRY_BACKOFF = Backoff(initial_delay=0.1, max_delay=1.0)
-"""Delays between tries while the store is away; a change of the table has to be
-in force within 3 s of the store's return."""
+"""Delays between retries while the store is unavailable.  A changed table has to be
+applied within 3 s of its return."""
 
 
 class BalancerNode(Node):
-    """Runs a balancer of opaque flows."""
+    """Runs a balancer for opaque flows."""
 
     state: BalancerState
 
@@ -109,7 +109,7 @@
         self._packet_socket = self.sockets.open(settings.packets, self._receive_packet)
 
     def start_role(self) -> None:
-        """Start watching the store."""
+        """Watch the store and serve the other balancers."""
         for effect in _balancer.start(self.state, self.now):
             self.execute(effect)
         self.run_in_background(self._watch_table())
@@ -123,11 +123,11 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether routers should send packets here."""
+        """Whether routers should send packets to this balancer."""
         return self.state.ready
 
     def list_gauges(self) -> list[str]:
-        """Return the lines of figures that go up and down."""
+        """Return the balancer's gauges in the Prometheus text format."""
         return [
             "# TYPE shedsill_flows gauge",
             f"shedsill_flows {len(self.state.flows)}",
@@ -138,7 +138,7 @@
         ]
 
     def execute(self, effect: Effect) -> None:
-        """Carry out an effect."""
+        """Execute an effect."""
         match effect:
             case ForwardPacket(host=host, packet=packet, service=service, route=route):
                 data = self.codec.encode_forwarded(packet, service, route)
@@ -174,7 +174,7 @@
         self.dispatch(event)
 
     async def _delete_report(self, report: NodeReport) -> None:
-        """Remove a report unless its node has written another one since."""
+        """Delete a report unless a newer incarnation of its node has replaced it."""
         found = await self.platform.call(Get(kind=REPORT_KIND, name=report.host))
         match found:
             case Found(object=StoredObject(version=version) as item):
@@ -276,7 +276,10 @@
         )
 
     async def _wait_between_watches(self) -> float | None:
-        """Wait until the next watch is due or reports are wanted at once."""
+        """Delay the next watch until it is due or reports are requested.
+
+        Returns the timeout of the next watch; None for the usual one.
+        """
         self._reports_requested.clear()
         self._waiting_between_watches = True
         try:
@@ -289,7 +292,10 @@
         return SHORT_WATCH_TIMEOUT_SECONDS
 
     def _request_reports(self) -> None:
-        """End the rest between watches; a watch under way has told all there is."""
+        """Read the reports without further delay.
+
+        While a watch is running, all changes up to now are already known.
+        """
         if self._waiting_between_watches:
             self._reports_requested.set()
         elif not self._platform_failed:
@@ -329,7 +335,7 @@
     platform: Platform,
     table: TableSource,
 ) -> BalancerNode:
-    """Return a balancer; call it inside the running loop."""
+    """Create a balancer; requires a running event loop."""
     state = BalancerState(
         report=NodeReport(
             host=settings.host,
--- a/shedsill/datagram/_runtime/checkpoints.py
+++ b/shedsill/datagram/_runtime/checkpoints.py
@@ -1,4 +1,4 @@
-"""The checkpoint of open flows in the platform's store."""
+"""Checkpoint of open flows in the platform's store."""
 
 from __future__ import annotations
 
@@ -25,28 +25,28 @@
 from shedsill.datagram._messages import OpenFlow
 
 CHECKPOINT_KIND = "shedsill-flows"
-"""Kind of the object in the platform's store."""
+"""Kind of the stored object."""
 
 CHECKPOINT_NAME = "open"
 
 MAX_READ_ATTEMPTS = 4
-"""Tries of a balancer that starts to read the checkpoint: the collector overwrites
-what it needs some seconds later."""
+"""Attempts to read the checkpoint at a balancer's start, before the collector
+overwrites it some seconds later."""
 
 RETRY_BACKOFF = Backoff(initial_delay=0.1, max_delay=0.5)
-"""Delays between these tries."""
+"""Delays between these attempts."""
 
 
 class Checkpoint(Struct, frozen=True, kw_only=True):
-    """The stored value.
+    """The stored checkpoint.
 
     Attributes
     ----------
     written_at : float
-        Seconds since the epoch by the clock of the node that wrote it; clocks may be
-        some seconds apart and may step.
+        Unix time by the clock of the node that wrote it.  Clocks of nodes may differ
+        by some seconds and may step.
     parts : dict of str to list of OpenFlow
-        By balancer.
+        Open flows of each balancer, by its host.
     """
 
     written_at: float
@@ -54,16 +54,16 @@
 
 
 CheckpointHandler = Callable[[dict[str, list[OpenFlow]], float, bool], None]
-"""Gets the parts, their age in seconds, and whether they were read at the start."""
+"""Receives the parts, their age in seconds, and whether they were read at the start."""
 
 
 class CheckpointStore:
-    """Reads and writes the checkpoint, one call at a time.
+    """Reads and writes the checkpoint.
 
     Attributes
     ----------
     version : int
-        Of the stored object, as far as known; 0 where it is not.
+        Version of the stored object; 0 if unknown.
     """
 
     def __init__(
@@ -80,7 +80,7 @@
         self._writing = False
 
     async def read(self) -> None:
-        """Read what was open before this node's start."""
+        """Read the checkpoint at this node's start, with retries."""
         call = Get(kind=CHECKPOINT_KIND, name=CHECKPOINT_NAME)
         for failures in range(1, MAX_READ_ATTEMPTS + 1):
             match await self._platform.call(call):
@@ -93,7 +93,10 @@
             await asyncio.sleep(get_delay(RETRY_BACKOFF, failures))
 
     async def write(self, parts: dict[str, list[OpenFlow]]) -> None:
-        """Replace the checkpoint; the next one follows soon if this cannot be done."""
+        """Replace the checkpoint; skipped while an earlier write is running.
+
+        There are no retries, since the next checkpoint follows soon.
+        """
         if self._writing:
             return
         self._writing = True
--- a/shedsill/datagram/_runtime/http.py
+++ b/shedsill/datagram/_runtime/http.py
@@ -1,7 +1,7 @@
-"""Small HTTP/1.1 client and server over httptools.
+"""Minimal HTTP/1.1 client and server on top of httptools.
 
-aiohttp costs 0.3 s of CPU and 23 MB only to be imported, which is more than a
-whole node may take here to start; httptools brings just the parser.
+Importing aiohttp takes 0.3 s of CPU and 23 MB, which exceeds the budget for the
+start of a node.
 """
 
 from __future__ import annotations
@@ -16,25 +16,25 @@
 from shedsill._connections import enable_keepalive
 
 CONNECT_TIMEOUT_SECONDS = 1.0
-"""Seconds for a connection; a VM behind a cut does not answer at all."""
+"""Timeout for opening a connection, as to a VM behind a network partition."""
 
 MAX_BODY_BYTES = 8 * 1024 * 1024
-"""Octets of one body that are read; lists hold about 1 MB."""
+"""Limit of a request or response body; lists of the store take about 1 MB."""
 
 
 class Response(Struct, frozen=True, kw_only=True):
-    """An HTTP answer."""
+    """An HTTP response."""
 
     status: int
     body: bytes
 
 
 def _ignore_progress() -> None:
-    """Do nothing: no call is waiting."""
+    """Ignore data that arrives while no request is running."""
 
 
 class _ClientProtocol(asyncio.Protocol):
-    """Parses answers of one connection, one at a time."""
+    """Client side of a connection, with one request at a time."""
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport | None = None
@@ -54,7 +54,7 @@
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
-            self._fail(ConnectionError(f"not HTTP: {error}"))
+            self._fail(ConnectionError(f"invalid HTTP response: {error}"))
 
     def on_message_begin(self) -> None:
         self._body.clear()
@@ -62,7 +62,7 @@
     def on_body(self, body: bytes) -> None:
         self._body += body
         if len(self._body) > MAX_BODY_BYTES:
-            self._fail(ConnectionError("answer is too long"))
+            self._fail(ConnectionError("response body is too long"))
 
     def on_message_complete(self) -> None:
         if not self._parser.should_keep_alive():
@@ -83,9 +83,9 @@
 
 
 class HttpClient:
-    """Calls one server over connections that are kept open between calls.
+    """Sends requests to one server over persistent connections.
 
-    A connection on which an answer stayed out is never used again.
+    A connection whose request failed is closed.
     """
 
     def __init__(self, address: Address) -> None:
@@ -95,19 +95,18 @@
     async def request(
         self, method: str, target: str, body: bytes | None, *, timeout: float
     ) -> Response:
-        """Carry out one call.
+        """Send a request and return the response.
 
         Parameters
         ----------
         timeout : float
-            Seconds to wait for the answer to begin, and for each further part of
-            it: a list of 0.3 MB takes a link of 5 Mbit/s longer than the store may
-            take to answer, and would never come if it had to come whole.
+            Seconds to wait for the start of the response and for each further part
+            of it, so that large responses over slow links can complete.
 
         Raises
         ------
         TimeoutError, OSError
-            If there was no whole answer.
+            If the response is missing or incomplete.
         """
         loop = asyncio.get_running_loop()
         async with asyncio.timeout(timeout) as limit:
@@ -168,11 +167,11 @@
 
 
 Handler = Callable[[str, str, bytes], Response]
-"""Takes method, path and body, and returns the answer at once."""
+"""Receives method, path and body, and returns the response."""
 
 
 class _ServerProtocol(asyncio.Protocol):
-    """Parses calls of one connection and answers each with the handler."""
+    """Server side of a connection; answers each request with the handler."""
 
     def __init__(self, handler: Handler) -> None:
         self._handler = handler
@@ -228,6 +227,6 @@
 
 
 async def serve_http(address: Address, handler: Handler) -> asyncio.Server:
-    """Listen for calls; close the server that is returned to stop."""
+    """Start an HTTP server."""
     loop = asyncio.get_running_loop()
     return await loop.create_server(lambda: _ServerProtocol(handler), *address.pair)
--- a/shedsill/datagram/_runtime/log.py
+++ b/shedsill/datagram/_runtime/log.py
@@ -1,9 +1,9 @@
-"""JSON log lines on standard output, bounded and never waited for.
+"""Non-blocking JSON log on standard output.
 
-loguru costs 0.09 s of CPU and 12 MB to be imported, about what a whole node may
-take here, and writes synchronously.  Here lines are collected, and written
-together when the node has nothing else to do.  A full pipe drops lines, which
-are counted.
+Lines are buffered and written together between events.  Lines that exceed the
+buffer or their rate limit are dropped and counted.  Importing loguru, which writes
+synchronously, takes 0.09 s of CPU and 12 MB, which exceeds the budget for the start
+of a node.
 """
 
 from __future__ import annotations
@@ -20,26 +20,25 @@
 from shedsill._limits import Bucket, Rate, take_token
 
 LINE_RATE = Rate(per_second=100.0, burst=400.0)
-"""Lines of one event: enough for each decision of a node in ordinary hours;
-above it, lines are counted and left out."""
+"""Rate limit for the lines of one event; lines above it are dropped and counted."""
 
 MAX_BUFFER_BYTES = 256 * 1024
-"""Octets that wait for a reader of standard output before lines are dropped."""
+"""Size of the buffer above which lines are dropped while standard output blocks."""
 
 STDOUT_FILENO = 1
 
 
 class JsonLog:
-    """Writes and counts notes for one node.
+    """Writes and counts the log events of one node.
 
     Attributes
     ----------
     describe_flow : callable
-        Gives the text form of a flow's key.
+        Returns the text form of a flow's key.
     counts : Counter
-        How often each event has happened.
+        Number of times that each event has happened.
     dropped : int
-        Lines left out.
+        Number of lines dropped.
     """
 
     def __init__(
@@ -60,11 +59,11 @@
         os.set_blocking(descriptor, False)
 
     def write(self, record: WriteLog, now: float) -> None:
-        """Count a note and queue its line."""
+        """Count an event and queue its line."""
         self.counts[record.event] += 1
-        bucket, passed = take_token(self._buckets.get(record.event), LINE_RATE, now)
+        bucket, allowed = take_token(self._buckets.get(record.event), LINE_RATE, now)
         self._buckets[record.event] = bucket
-        if not passed or len(self._buffer) > MAX_BUFFER_BYTES:
+        if not allowed or len(self._buffer) > MAX_BUFFER_BYTES:
             self.dropped += 1
             return
         self._append_line(record)
@@ -85,7 +84,7 @@
         self._buffer += msgspec.json.encode(line) + b"\n"
 
     def flush(self) -> None:
-        """Write what has been queued, as far as it goes without waiting."""
+        """Write as much of the buffer as standard output accepts without blocking."""
         if (
             self.dropped > self._dropped_reported
             and len(self._buffer) <= MAX_BUFFER_BYTES
@@ -100,7 +99,7 @@
         except BlockingIOError:
             return
         except OSError:
-            # Nobody reads any more, and there is nowhere else to say so.
+            # Standard output is closed, and there is no other place to log to.
             self.dropped += self._buffer.count(b"\n")
             self._buffer.clear()
             return
--- a/shedsill/datagram/_runtime/metrics.py
+++ b/shedsill/datagram/_runtime/metrics.py
@@ -1,7 +1,7 @@
-"""Counters and histograms in the text form that Prometheus reads.
+"""Counters and histograms in the Prometheus text format.
 
-prometheus_client costs 0.1 s of CPU and 12 MB to be imported; the text form of
-counters and histograms is a few lines.
+Importing prometheus_client takes 0.1 s of CPU and 12 MB, which is too much for the
+start of a node.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 from shedsill._catalogue import LogEvent
 
 LATENCY_BOUNDS_SECONDS = (0.001, 0.003, 0.01, 0.03, 0.1, 0.3, 1.0, 3.0)
-"""Upper bounds in seconds; three to a decade, up to the callers' deadlines."""
+"""Upper bounds of the buckets, up to the callers' deadlines."""
 
 
 class Histogram:
-    """Counts of durations by upper bound.
+    """Histogram of durations.
 
     Examples
     --------
@@ -33,12 +33,12 @@
         self._sum = 0.0
 
     def observe(self, seconds: float) -> None:
-        """Count one duration."""
+        """Add a duration."""
         self._counts[bisect.bisect_left(LATENCY_BOUNDS_SECONDS, seconds)] += 1
         self._sum += seconds
 
     def format(self) -> list[str]:
-        """Return the lines of the text form."""
+        """Return the histogram in the Prometheus text format."""
         lines = [f"# HELP {self.name} {self.text}", f"# TYPE {self.name} histogram"]
         total = 0
         bounds = [*map(str, LATENCY_BOUNDS_SECONDS), "+Inf"]
@@ -53,14 +53,14 @@
 def format_counters(
     name: str, text: str, label: str, counts: Mapping[str, int]
 ) -> list[str]:
-    """Return the lines of one counter with a label."""
+    """Return a counter with one label in the Prometheus text format."""
     lines = [f"# HELP {name} {text}", f"# TYPE {name} counter"]
     lines += [f'{name}{{{label}="{key}"}} {counts[key]}' for key in sorted(counts)]
     return lines
 
 
 def format_events(counts: Mapping[LogEvent, int]) -> list[str]:
-    """Return the counter of log events, by their numbers."""
+    """Return the counter of log events by number in the Prometheus text format."""
     numbers = {str(event.value.number): count for event, count in counts.items()}
     text = "Events by number; see the catalogue"
     return format_counters("shedsill_events_total", text, "event", numbers)
--- a/shedsill/datagram/_runtime/node.py
+++ b/shedsill/datagram/_runtime/node.py
@@ -1,4 +1,4 @@
-"""The loop of one node: sockets and timers in, effects out."""
+"""Event loop of a node: passes events to the reducer and executes its effects."""
 
 from __future__ import annotations
 
@@ -48,14 +48,14 @@
 from shedsill.errors import DecodeError, InvariantError, SettingError
 
 TICK_INTERVAL_SECONDS = 0.04
-"""Seconds between ticks: half of the shortest limit that ticks watch over."""
+"""Half of the shortest timeout that is checked on ticks."""
 
 SETTINGS_CHECK_INTERVAL_SECONDS = 1.0
-"""Seconds between looks at whether the settings have changed."""
+"""Interval between checks for changed settings."""
 
 TRAFFIC_LOG_INTERVAL_SECONDS = 5.0
-"""Seconds between log lines that tell what this node has asked of others; a killed
-node leaves no other word of it."""
+"""Interval between log lines with traffic counters.  The counters of a killed node
+are only found in its log."""
 
 METRICS_PATH = "/metrics"
 HTTP_OK = 200
@@ -64,14 +64,14 @@
 
 
 class Node:
-    """Base of the balancer's and the agent's loops.
+    """Base class of balancer and agent.
 
     Attributes
     ----------
     state : BalancerState or AgentState
-        Belongs to the reducer.
+        Changed only by the reducer.
     failure : Exception or None
-        What broke an invariant.
+        The error that stopped the node, if any.
     """
 
     def __init__(
@@ -116,15 +116,15 @@
 
     @property
     def now(self) -> float:
-        """Seconds on the monotonic clock."""
+        """Current time of the monotonic clock in seconds."""
         return self._loop.time()
 
-    # Life
+    # Lifecycle
 
     async def run(self) -> None:
-        """Serve until a planned stop is complete or an invariant is broken."""
-        for number in (signal.SIGTERM, signal.SIGINT):
-            self._loop.add_signal_handler(number, self._request_stop)
+        """Run until a planned stop is complete or the reducer fails."""
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            self._loop.add_signal_handler(signal_number, self._request_stop)
         self._loop.add_signal_handler(signal.SIGHUP, self._read_settings)
         self.run_in_background(self._watch_settings())
         await self.serve(self.settings.status, self.handle_status_request)
@@ -147,21 +147,21 @@
         self._close()
 
     def start_role(self) -> None:
-        """Do what a role does first; subclasses add to it."""
+        """Start the tasks and servers of the node's role."""
         raise NotImplementedError
 
     def _request_stop(self) -> None:
         self.dispatch(StopRequested(now=self.now))
 
     async def _watch_settings(self) -> None:
-        """Notice settings that change without a signal."""
+        """Reload settings that change without a signal."""
         while True:
             await asyncio.sleep(SETTINGS_CHECK_INTERVAL_SECONDS)
             if self._settings_source.has_changed():
                 self._read_settings()
 
     def _read_settings(self) -> None:
-        """Put changed settings in force; keep those before if they are bad."""
+        """Apply changed settings; invalid ones are logged and ignored."""
         try:
             settings = self._settings_source.read()
         except SettingError as error:
@@ -180,7 +180,7 @@
         )
 
     def _handle_earlier_report(self, value: object, at_start: bool) -> None:
-        """Dispatch what an earlier run of this node left in the store."""
+        """Dispatch the stored report of an earlier incarnation of this node."""
         try:
             report = load_report(value)
         except DecodeError as error:
@@ -205,7 +205,7 @@
             self._loop.call_later(TICK_INTERVAL_SECONDS, self._tick)
 
     def _log_traffic(self) -> None:
-        """Log what this node has asked of others since its start."""
+        """Log the counts of store calls and messages since the start."""
         fields = {
             "calls": self.traffic.calls,
             "messages": self.traffic.messages,
@@ -215,7 +215,7 @@
         if not self._exited.is_set():
             self._loop.call_later(TRAFFIC_LOG_INTERVAL_SECONDS, self._log_traffic)
 
-    # Input
+    # Events
 
     def _receive_message(self, data: bytes, source: str) -> None:
         try:
@@ -224,22 +224,22 @@
             fields = {"source": source, "error": str(error)}
             self.write_log(WriteLog(event=LogEvent.MESSAGE_REFUSED, fields=fields))
             return
-        returned = None
+        returned_packet = None
         if isinstance(message, PacketReturned):
-            returned = self.codec.decode_caller(message.packet)
-            if returned is None:
+            returned_packet = self.codec.decode_caller(message.packet)
+            if returned_packet is None:
                 self.log_malformed_packet(source, message.packet)
                 return
         event = MessageReceived(message=message, source=source, now=self.now)
-        self._reduce(event, returned)
+        self._reduce(event, returned_packet)
 
     def log_malformed_packet(self, source: str, data: bytes) -> None:
-        """Note a datagram that is not a packet."""
+        """Log a datagram that is not a valid packet."""
         fields = {"source": source, "octets": len(data)}
         self.write_log(WriteLog(event=LogEvent.PACKET_MALFORMED, fields=fields))
 
     async def serve(self, address: Address, handler: Handler) -> None:
-        """Answer HTTP calls at an address."""
+        """Start an HTTP server at an address."""
         try:
             server = await serve_http(address, handler)
         except OSError as error:
@@ -247,7 +247,7 @@
         self._servers.append(server)
 
     def handle_status_request(self, method: str, path: str, body: bytes) -> Response:
-        """Answer whether this node should be sent packets."""
+        """Answer a readiness check."""
         if path.partition("?")[0] != self.settings.readiness_path:
             return Response(status=HTTP_NOT_FOUND, body=b"{}")
         status = HTTP_OK if self.is_ready else HTTP_UNAVAILABLE
@@ -255,7 +255,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether this node should be sent packets."""
+        """Whether routers should send packets to this node."""
         raise NotImplementedError
 
     def _handle_metrics_request(self, method: str, path: str, body: bytes) -> Response:
@@ -267,40 +267,40 @@
         return Response(status=HTTP_OK, body="\n".join([*lines, ""]).encode())
 
     def list_gauges(self) -> list[str]:
-        """Return the lines of figures that go up and down."""
+        """Return the role's gauges in the Prometheus text format."""
         raise NotImplementedError
 
-    # Output
+    # Effects
 
     def dispatch(self, event: Event) -> None:
-        """Reduce an event and carry out what follows from it."""
+        """Pass an event to the reducer and execute the effects it returns."""
         self._reduce(event, None)
 
-    def _reduce(self, event: Event, returned: Any) -> None:
+    def _reduce(self, event: Event, returned_packet: Any) -> None:
         try:
-            for effect in reduce(self.state, event, returned):
+            for effect in reduce(self.state, event, returned_packet):
                 self.execute(effect)
         except Exception as error:
             self._fail(error)
             raise
 
     def _fail(self, error: Exception) -> None:
-        """Stop the process: whatever escapes the reducer breaks an invariant."""
+        """Log an error of the reducer and stop the process."""
         self.failure = error
         fields = {"error": f"{type(error).__name__}: {error}"}
         self.write_log(WriteLog(event=LogEvent.INVARIANT_BROKEN, fields=fields))
         self._exited.set()
 
     def execute(self, effect: Effect) -> None:
-        """Carry out an effect that every role has."""
+        """Execute an effect that both roles have."""
         match effect:
             case WriteLog():
                 self.write_log(effect)
             case SendMessage(host=host, message=message):
-                octets = encode_message(message)
-                self.traffic.count_message(type(message).__name__, len(octets))
+                data = encode_message(message)
+                self.traffic.count_message(type(message).__name__, len(data))
                 target = (host, self.settings.messages.port)
-                self.sockets.send(self._message_socket, octets, target)
+                self.sockets.send(self._message_socket, data, target)
             case ResetFlow(flow=flow, seq=seq):
                 self.send_to_caller(flow, self.codec.encode_reset(flow, seq))
             case ObserveLatency(seconds=seconds):
@@ -312,7 +312,9 @@
             case Exit():
                 self._exited.set()
             case _:
-                raise InvariantError(f"wrong role for {type(effect).__name__}")
+                raise InvariantError(
+                    f"this role cannot execute {type(effect).__name__}"
+                )
 
     def send_to_caller(self, flow: bytes, data: bytes) -> None:
         """Send a packet to the caller of a flow."""
@@ -320,11 +322,11 @@
         self.sockets.send(self._message_socket, data, target)
 
     def write_log(self, record: WriteLog) -> None:
-        """Count a note and queue its log line."""
+        """Count a log event and queue its line."""
         self.log.write(record, self.now)
 
     def run_in_background(self, coroutine: Coroutine[Any, Any, None]) -> None:
-        """Run a coroutine beside the loop; it ends with the node."""
+        """Start a task that is cancelled when the node stops."""
         task = self._loop.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._end_task)
@@ -337,7 +339,13 @@
         self.write_log(WriteLog(event=LogEvent.TASK_FAILED, fields=fields))
 
     def update_platform_status(self, failure: Unavailable | None) -> None:
-        """Note that the platform's store was lost or is back."""
+        """Log when the platform's store becomes unavailable or available again.
+
+        Parameters
+        ----------
+        failure : Unavailable or None
+            Outcome of the last call; None if it succeeded.
+        """
         if failure is not None and not self._platform_failed:
             fields = {"reason": failure.reason}
             self.write_log(WriteLog(event=LogEvent.PLATFORM_FAILED, fields=fields))
@@ -347,5 +355,5 @@
 
 
 def generate_incarnation() -> int:
-    """Draw the number of this start of the process."""
+    """Return a random number that identifies this start of the process."""
     return int.from_bytes(os.getrandom(6), "big")
--- a/shedsill/datagram/_runtime/reports.py
+++ b/shedsill/datagram/_runtime/reports.py
@@ -1,4 +1,4 @@
-"""Keeps this node's report in the platform's store."""
+"""Writes this node's report to the platform's store."""
 
 from __future__ import annotations
 
@@ -24,29 +24,32 @@
 from shedsill.datagram._messages import NodeReport, dump_report
 
 REPORT_KIND = "shedsill-nodes"
-"""Kind of the objects in the platform's store, one a node, named by its host."""
+"""Kind of the stored objects; there is one for each node, named by its host."""
 
 RETRY_BACKOFF = Backoff(initial_delay=0.1, max_delay=1.0)
-"""Delays between tries: a report has to be back 2 s after an outage."""
+"""Delays between retries; a report has to be stored 2 s after an outage."""
 
 FINAL_WRITE_TIMEOUT_SECONDS = 0.5
-"""Seconds that a planned stop waits for the last write."""
+"""Time for which a planned stop waits for the last write."""
 
 
 class ReportWriter:
-    """Writes the latest report that was asked for, until the store has it.
+    """Writes the latest report, with retries until the store has accepted it.
+
+    Parameters
+    ----------
+    handle_earlier_report : callable
+        Receives the stored value of an earlier incarnation of this node, and whether
+        it was read at this node's start.
 
     Attributes
     ----------
     version : int
-        Of the stored object, as far as known; 0 where it is not.
+        Version of the stored object; 0 if unknown.
     pending : NodeReport or None
-        What the store should hold.
-    handle_earlier_report : callable
-        Gets the value that an earlier run of this node has left in the store, and
-        whether the store answered at this node's start.
-    removing : bool
-        Whether `pending` is to be removed rather than stored.
+        Report that is to be stored or deleted.
+    pending_removal : bool
+        Whether `pending` is to be deleted rather than stored.
     """
 
     def __init__(
@@ -63,23 +66,23 @@
         self.write_log = write_log
         self.version = 0
         self.pending: NodeReport | None = None
-        self.removing = False
+        self.pending_removal = False
         self._idle = asyncio.Event()
         self._idle.set()
 
     def store(self, report: NodeReport) -> None:
-        """Have the store hold a report."""
+        """Store a report in the background."""
         self._request_write(report, removing=False)
 
     def record_version(self, version: int) -> None:
-        """Note the version of this node's report, where it was read with others."""
+        """Update the version after a read of all reports, unless a write is running."""
         if self._idle.is_set():
             self.version = version
 
     async def read_earlier_report(self, host: str) -> None:
-        """Pass on what an earlier run of this node has left, if the store answers.
+        """Read the report of an earlier incarnation, if the store is available.
 
-        Otherwise the first write meets it.
+        Otherwise the first write returns it as a conflict.
         """
         match await self.platform.call(Get(kind=REPORT_KIND, name=host)):
             case Found(object=StoredObject(version=version, value=value)):
@@ -91,18 +94,18 @@
                 self.write_log(WriteLog(event=LogEvent.PLATFORM_FAILED, fields=fields))
 
     def remove(self, report: NodeReport) -> None:
-        """Have the store hold no report of this node."""
+        """Delete this node's report in the background."""
         self._request_write(report, removing=True)
 
     def _request_write(self, report: NodeReport, *, removing: bool) -> None:
         self.pending = report
-        self.removing = removing
+        self.pending_removal = removing
         if self._idle.is_set():
             self._idle.clear()
             self._run_in_background(self._write())
 
     async def wait_until_written(self) -> None:
-        """Wait a moment for the last write."""
+        """Wait a limited time for the last write."""
         try:
             async with asyncio.timeout(FINAL_WRITE_TIMEOUT_SECONDS):
                 await self._idle.wait()
@@ -113,7 +116,7 @@
     async def _write(self) -> None:
         failures = 0
         while self.pending is not None:
-            report, removing = self.pending, self.removing
+            report, removing = self.pending, self.pending_removal
             outcome = await self.platform.call(self._build_call(report, removing))
             match outcome:
                 case Stored(version=version):
@@ -133,8 +136,8 @@
                     failures += 1
                     if failures == 1:
                         fields = {"reason": reason, "call": "report"}
-                        note = WriteLog(event=LogEvent.PLATFORM_FAILED, fields=fields)
-                        self.write_log(note)
+                        record = WriteLog(event=LogEvent.PLATFORM_FAILED, fields=fields)
+                        self.write_log(record)
                     await asyncio.sleep(get_delay(RETRY_BACKOFF, failures))
         self._idle.set()
 
@@ -151,7 +154,7 @@
     def _has_taken_effect(
         self, outcome: Outcome, report: NodeReport, removing: bool
     ) -> bool:
-        """Whether an earlier try, whose answer was lost, has taken effect."""
+        """Whether an earlier attempt whose response was lost has taken effect."""
         assert isinstance(outcome, Conflict)
         if outcome.current is None:
             return removing
--- a/shedsill/datagram/_runtime/sockets.py
+++ b/shedsill/datagram/_runtime/sockets.py
@@ -1,4 +1,4 @@
-"""The UDP sockets of one node."""
+"""UDP sockets of a node."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 from shedsill.errors import SettingError
 
 MAX_DATAGRAMS_PER_READ = 128
-"""Datagrams read from one socket before others get their turn."""
+"""Limit of datagrams read from one socket before other sockets are served."""
 
 MAX_DATAGRAM_BYTES = 65_535
 
 SOCKET_BUFFER_BYTES = 4 * 1024 * 1024
-"""Octets of datagrams that may wait while the VM is out of processor quota."""
+"""Kernel buffer for datagrams that arrive while the VM is paused by its CPU quota."""
 
 
 class DatagramSockets:
-    """Reads and writes datagrams.
+    """Receives and sends datagrams without blocking.
 
     Parameters
     ----------
     write_log : callable
-        Gets what went wrong.
+        Receives a log entry for each failure.
     on_drained : callable
-        Called when no datagram is left to be read for the moment.
+        Called after each batch of datagrams.
     """
 
     def __init__(
@@ -43,12 +43,12 @@
     def open(
         self, address: Address, receive: Callable[[bytes, str], None]
     ) -> socket.socket:
-        """Open a socket whose datagrams go to `receive` with their source.
+        """Bind a socket; `receive` is called with each datagram and its source host.
 
         Raises
         ------
         SettingError
-            If the address cannot be used.
+            If the address cannot be bound.
         """
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         sock.setblocking(False)
@@ -71,7 +71,7 @@
             except BlockingIOError:
                 break
             except OSError as error:
-                # ICMP's word on an earlier datagram; silence is noticed elsewhere.
+                # ICMP error for an earlier datagram; the reducer detects lost peers.
                 if error.errno != errno.ECONNREFUSED:
                     self._log_failure(sock, error)
                 continue
@@ -79,7 +79,7 @@
         self._on_drained()
 
     def send(self, sock: socket.socket, data: bytes, target: tuple[str, int]) -> None:
-        """Send a datagram; one that cannot be sent is lost, as any may be."""
+        """Send a datagram; if that fails, it is dropped and the failure logged."""
         try:
             sock.sendto(data, target)
         except OSError as error:
@@ -97,6 +97,6 @@
 
 
 def build_address_error(address: Address, error: OSError) -> SettingError:
-    """Return the error of an address that this VM cannot listen at."""
+    """Return the error for an address that cannot be bound on this VM."""
     allowed = f"an address that is free on this VM ({error.strerror})"
     return SettingError("listen address", str(address), allowed)
--- a/shedsill/datagram/_runtime/tables.py
+++ b/shedsill/datagram/_runtime/tables.py
@@ -1,8 +1,8 @@
-"""The forwarding table as balancers read it from each other.
+"""Transfer of the forwarding table between balancers.
 
-They do so when the store has not brought a table that others have, and then many at
-the same time from the few that have it.  Links may be thin and carry the nodes' small
-messages too, so that a table is compressed and only so many are sent a second.
+A balancer reads the table from another one if its own reads of the store fail.
+Since many may do so at the same time, over links that also carry the nodes' messages,
+tables are compressed and their rate is limited.
 """
 
 from __future__ import annotations
@@ -15,17 +15,15 @@
 from shedsill.errors import DecodeError
 
 TABLE_BYTES_PER_SECOND = 100_000
-"""Octets of tables a second that one balancer sends to others: a sixth of a link of
-5 Mbit/s, which carries the nodes' small messages too.  Measured without it: 22 readers
-of 255,475 octets each kept a balancer on 10 Mbit/s from hearing any agent for 5 s."""
+"""Rate limit for tables sent to other balancers: a sixth of a link of 5 Mbit/s, so
+that messages of agents still arrive in time."""
 
 COMPRESSION_LEVEL = 1
-"""The fastest; it makes a table of 256,548 octets with random names 12 times smaller
-in 0.8 ms, and the usual level 14 times in 1.7 ms."""
+"""The fastest level; the default one saves little more on tables."""
 
 
 def compress_table(value: object) -> bytes:
-    """Return the octets in which a table, as the store holds it, is sent.
+    """Return a table, as stored, in compressed form.
 
     Examples
     --------
@@ -36,37 +34,36 @@
 
 
 def decompress_table(data: bytes) -> object:
-    """Read a table from its octets.
+    """Return the table of its compressed form.
 
     Raises
     ------
     DecodeError
-        If they are not a table of at most `MAX_BODY_BYTES` octets.
+        If the data is invalid, truncated or exceeds `MAX_BODY_BYTES`.
     """
     inflater = zlib.decompressobj()
     try:
         content = inflater.decompress(data, MAX_BODY_BYTES)
         if not inflater.eof:
             raise DecodeError(
-                f"table is cut short or longer than {MAX_BODY_BYTES} octets"
+                f"table is truncated or exceeds {MAX_BODY_BYTES} bytes"
             )
         return msgspec.json.decode(content)
     except (zlib.error, msgspec.DecodeError) as error:
-        raise DecodeError(f"not a table: {error}") from error
+        raise DecodeError(f"invalid table: {error}") from error
 
 
 class ServedTable:
-    """The newest table, ready to be sent to other balancers.
+    """The newest table, sent to other balancers at a limited rate.
 
     Attributes
     ----------
     value : object
-        The table as the store holds it; None where there is none, or where `compressed`
-        has taken its place.
+        The table as stored; None if there is none or once it is compressed.
     compressed : bytes
-        The table as it is sent; empty until the first balancer asks for it.
+        Compressed form; empty until it is first requested.
     next_send_at : float
-        When the next one may be sent.
+        Time from which the table may be sent again.
     """
 
     def __init__(self) -> None:
@@ -85,7 +82,7 @@
         return self.value is None and not self.compressed
 
     def get_for_sending(self, now: float) -> bytes | None:
-        """Return the table's octets; None while too many have been sent lately."""
+        """Return the compressed table; None if the rate limit is exceeded."""
         if now < self.next_send_at:
             return None
         if not self.compressed:
--- a/shedsill/datagram/_runtime/traffic.py
+++ b/shedsill/datagram/_runtime/traffic.py
@@ -1,4 +1,4 @@
-"""Counts of what a node asks of the store and tells other nodes."""
+"""Counters of store calls and of messages to other nodes."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 
 class TrafficCounters:
-    """What one node has asked of the store and told other nodes since its start.
+    """Counters of one node since its start.
 
     Attributes
     ----------
     calls : Counter of str
-        Calls of the store by kind of call and object.
+        Store calls by kind of call and object.
     messages, message_bytes : Counter of str
-        Messages sent to other nodes by class, and their octets.
+        Number and total size of messages to other nodes, by class.
 
     Examples
     --------
@@ -41,7 +41,7 @@
         self.message_bytes: Counter[str] = Counter()
 
     def count_call(self, call: Call) -> None:
-        """Count one call of the store."""
+        """Count a store call."""
         match call:
             case List(kinds=kinds) | Watch(kinds=kinds):
                 kind = ",".join(kinds)
@@ -52,35 +52,35 @@
         self.calls[f"{type(call).__name__.lower()} {kind}".strip()] += 1
 
     def count_message(self, name: str, size: int) -> None:
-        """Count one message to another node."""
+        """Count a message to another node."""
         self.messages[name] += 1
         self.message_bytes[name] += size
 
     def format(self) -> list[str]:
-        """Return the lines of the text form."""
+        """Return the counters in the Prometheus text format."""
         calls = format_counters(
             "shedsill_store_calls_total", "Calls of the store", "call", self.calls
         )
         messages = format_counters(
             "shedsill_messages_total", "Messages sent", "message", self.messages
         )
-        octets = format_counters(
+        sizes = format_counters(
             "shedsill_message_octets_total",
             "Their octets",
             "message",
             self.message_bytes,
         )
-        return [*calls, *messages, *octets]
+        return [*calls, *messages, *sizes]
 
 
 class CountingPlatform:
-    """Counts the calls that go to the platform's store."""
+    """Platform that counts the calls passed to another one."""
 
     def __init__(self, platform: Platform, traffic: TrafficCounters) -> None:
         self._platform = platform
         self._traffic = traffic
 
     async def call(self, call: Call) -> Outcome:
-        """Count a call and carry it out."""
+        """Count and execute a call."""
         self._traffic.count_call(call)
         return await self._platform.call(call)
