--- a/shedsill/_addresses.py
+++ b/shedsill/_addresses.py
@@ -1,4 +1,4 @@
-"""Socket addresses as values."""
+"""Socket addresses."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Address(Struct, frozen=True, order=True):
-    """An IP number and a port.
+    """An IP address and a port.
 
     Examples
     --------
@@ -33,29 +33,29 @@
 
     @property
     def pair(self) -> tuple[str, int]:
-        """The address in the form that sockets take."""
+        """The address as a tuple, as the `socket` module expects it."""
         return (self.host, self.port)
 
 
 @functools.lru_cache(maxsize=MAX_CACHED_ADDRESSES)
 def parse_address(text: str, *, field: str = "address") -> Address:
-    """Read ``IP:PORT``.
+    """Parse ``IP:PORT``.
 
     Parameters
     ----------
     text : str
-        An IPv4 number, or an IPv6 number in brackets, then a colon and a port.
+        An IPv4 address or an IPv6 address in brackets, a colon and a port.
     field : str
-        The name that an error message shows.
+        Name of the field for error messages.
 
     Raises
     ------
     DocumentError
-        If `text` does not have that form.
+        If `text` is invalid.
     """
     host, _, port = str(text).rpartition(":")
     host = host.removeprefix("[").removesuffix("]")
-    allowed = "an IP number, a colon and a port from 1 to 65535"
+    allowed = "an IP address, a colon and a port from 1 to 65535"
     try:
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         socket.inet_pton(family, host)
--- a/shedsill/_common_effects.py
+++ b/shedsill/_common_effects.py
@@ -1,4 +1,4 @@
-"""Effects that reducers of every kind of traffic return."""
+"""Effects that the reducers of all kinds of traffic return."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 
 class WriteLog(Struct, frozen=True, kw_only=True):
-    """Write a log line and count it.
+    """Count a log event and write its line.
 
     Attributes
     ----------
     event : LogEvent
     fields : dict
-        What decided it; short values only.
+        Values that explain the event; short ones only.
     """
 
     event: LogEvent
@@ -24,4 +24,4 @@
 
 
 class Exit(Struct, frozen=True, kw_only=True):
-    """End the process: the planned stop is complete."""
+    """End the process after a planned stop."""
--- a/shedsill/_limits.py
+++ b/shedsill/_limits.py
@@ -1,4 +1,4 @@
-"""Token buckets as values."""
+"""Token buckets for rate limits."""
 
 from __future__ import annotations
 
@@ -6,21 +6,21 @@
 
 
 class Bucket(Struct, frozen=True):
-    """Tokens left, and the local time at which they were counted."""
+    """Tokens left, as of a local time."""
 
     tokens: float
     updated_at: float
 
 
 class Rate(Struct, frozen=True, kw_only=True):
-    """A steady rate per second and the burst that may go beyond it."""
+    """A rate limit in tokens per second, and the capacity for bursts."""
 
     per_second: float
     burst: float
 
 
 def take_token(bucket: Bucket | None, rate: Rate, now: float) -> tuple[Bucket, bool]:
-    """Refill a bucket and take one token; the flag says whether one was left.
+    """Refill a bucket and take a token; also returns whether one was available.
 
     Examples
     --------
--- a/shedsill/errors.py
+++ b/shedsill/errors.py
@@ -1,9 +1,8 @@
-"""The exception tree of the package.
+"""Exceptions of the package.
 
-Ordinary outcomes (a conflict, a refused request, an unreachable platform) are
-values, not exceptions.  What stands here is raised at the edges: settings and
-documents that cannot be used, bytes that cannot be decoded, and invariants of
-the program that do not hold.
+Expected outcomes, such as a conflict, a refused request or an unreachable platform,
+are values.  Exceptions are raised for invalid settings and documents, data that cannot
+be decoded, and violated invariants.
 """
 
 from __future__ import annotations
@@ -18,11 +17,11 @@
 
 
 class ShedsillError(Exception):
-    """Base class of every error raised by this package."""
+    """Base class of all exceptions of this package."""
 
 
 class SettingError(ShedsillError):
-    """A setting has a value that is not allowed."""
+    """A setting has an invalid value."""
 
     def __init__(self, setting: str, value: object, allowed: str) -> None:
         self.setting = setting
@@ -32,7 +31,7 @@
 
 
 class DocumentError(ShedsillError):
-    """A resource document has a field that is not allowed."""
+    """A field of a resource document has an invalid value."""
 
     def __init__(self, field: str, value: object, allowed: str) -> None:
         self.field = field
@@ -42,8 +41,8 @@
 
 
 class DecodeError(ShedsillError):
-    """Bytes from the network could not be decoded or authenticated."""
+    """Data from the network could not be decoded or authenticated."""
 
 
 class InvariantError(ShedsillError):
-    """An invariant of the program does not hold; the process has to stop."""
+    """An invariant of the program is violated; the process has to stop."""
--- a/shedsill/platform/__init__.py
+++ b/shedsill/platform/__init__.py
@@ -1,7 +1,7 @@
-"""Adapter for the users' hosting platform; nothing but translation.
+"""Adapter for the users' hosting platform.
 
-Its packet head, object store, heartbeats and settings are decoded here into
-the types of `shedsill.datagram` and `shedsill.coordination`.
+Translates its packet header, object store, heartbeats and settings to the types of
+`shedsill.datagram` and `shedsill.coordination`.
 """
 
 from __future__ import annotations
--- a/shedsill/platform/__main__.py
+++ b/shedsill/platform/__main__.py
@@ -5,13 +5,11 @@
 import gc
 import sys
 
-# Nothing that an import makes is garbage, but the collector looks through all of it
-# again and again: 15 ms of the 180 ms of CPU that a start takes.  `run_node`
-# turns it on again.
+# Garbage collection while modules are imported finds nothing and takes 15 ms of CPU;
+# `run_node` enables it again.
 gc.disable()
 
-# asyncio works without ssl, nothing here speaks TLS, and loading OpenSSL costs
-# 15 ms of CPU at each start.
+# TLS is not used here, and asyncio works without ssl, whose import takes 15 ms of CPU.
 sys.modules.setdefault("ssl", None)  # type: ignore[arg-type]
 
 from shedsill.platform.node import main  # noqa: E402
--- a/shedsill/platform/heartbeats.py
+++ b/shedsill/platform/heartbeats.py
@@ -1,4 +1,4 @@
-"""The calls by which upstreams tell their state."""
+"""Decoding of the calls by which upstreams report their state."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
     Attributes
     ----------
     cold_left_ms : int
-        How much longer the upstream works slowly after its start.
+        Remaining time for which the upstream is slow after its start.
     seq : int
-        Grows with each call of one run.
+        Increases with each call of one boot.
     """
 
     seq: int
@@ -40,7 +40,7 @@
     def decode_call(
         self, method: str, path: str, body: bytes, now: float
     ) -> Heartbeat | UpstreamLeaving | None:
-        """Read one call; None if it is not about an instance."""
+        """Decode a call; None if it does not concern an instance."""
         boot = path.partition("?")[0].removeprefix(INSTANCES_PATH)
         if boot == path or not boot:
             return None
@@ -54,13 +54,13 @@
 
 def _decode_heartbeat(boot: str, body: bytes) -> Heartbeat:
     try:
-        beat = _DECODER.decode(body)
+        call = _DECODER.decode(body)
     except msgspec.MsgspecError as error:
-        raise DecodeError(f"not a heartbeat: {error}") from error
+        raise DecodeError(f"invalid heartbeat: {error}") from error
     return Heartbeat(
         boot=boot,
-        serial=beat.seq,
-        state=beat.state,
-        slots=beat.slots,
-        cold=beat.cold_left_ms / 1000,
+        serial=call.seq,
+        state=call.state,
+        slots=call.slots,
+        cold=call.cold_left_ms / 1000,
     )
--- a/shedsill/platform/manifest.py
+++ b/shedsill/platform/manifest.py
@@ -1,4 +1,4 @@
-"""The operator's configuration as the platform keeps it."""
+"""Decoding of the operator's configuration in the platform's store."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
 
 
 class _Route(Struct, frozen=True, kw_only=True):
-    """One route.
+    """Route from an endpoint to a service, or to several with weights.
 
     Attributes
     ----------
     host : str
-        Not a name: the service's IP number.
+        IP address of the endpoint, not a host name.
     path_prefix : str
-        Not a path: the service's port between slashes.
+        Port of the endpoint between slashes, not a path.
     type : str
         ``safe`` (may be repeated), ``unsafe`` or ``upload`` (large bodies).
     slo_ms : int
-        Latency objective.
+        Latency objective in milliseconds.
     """
 
     name: str
@@ -47,7 +47,7 @@
 
 
 class _Service(Struct, frozen=True, kw_only=True):
-    """One service; its form is checked, and nothing else uses it."""
+    """Service, decoded only to validate the configuration."""
 
     name: str
     health_path: str = "/health"
@@ -65,12 +65,12 @@
 
 
 def decode_table(value: object) -> ForwardingTable:
-    """Read the stored configuration.
+    """Decode the stored configuration.
 
     Raises
     ------
     DecodeError
-        If it does not have the form that the platform documents.
+        If the configuration is invalid.
     """
     try:
         manifest = msgspec.convert(value, _Manifest)
@@ -80,7 +80,7 @@
             idle_timeout=manifest.limits.idle_timeout_ms / 1000,
         )
     except (msgspec.ValidationError, OSError, ValueError, struct.error) as error:
-        raise DecodeError(f"not a configuration: {error}") from error
+        raise DecodeError(f"invalid configuration: {error}") from error
 
 
 def _parse_endpoint(route: _Route) -> bytes:
--- a/shedsill/platform/node.py
+++ b/shedsill/platform/node.py
@@ -1,7 +1,7 @@
-"""A node on the platform, from its settings file to its end.
+"""Program of a node on the platform.
 
-Settings come in the file that `SHEDSILL_BOOT` names; click, which the other
-commands use, is left out to keep the start short.
+Settings are read from the file that `SHEDSILL_BOOT` names.  The command line is
+parsed without click to keep the start short.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 def create_node(file: SettingsFile, settings: PlatformSettings) -> Node:
-    """Return the node of a role, importing only what it needs."""
+    """Create the node of a role and import only the modules it needs."""
     store = ObjectStore(settings.store)
     match settings.node.role:
         case Role.BALANCER:
@@ -50,7 +50,7 @@
 
 
 async def run_node(file: SettingsFile, settings: PlatformSettings) -> int:
-    """Run until the planned stop is complete; return the exit code."""
+    """Run a node until it stops, and return the exit code."""
     node = create_node(file, settings)
     gc.freeze()
     gc.enable()
@@ -59,7 +59,7 @@
 
 
 def main() -> int:
-    """Check the command line and the settings, then run."""
+    """Read the command line and the settings, and run the node."""
     roles = {role.value: role for role in Role}
     if len(sys.argv) != 2 or sys.argv[1] not in roles:
         print(f"usage: python -m shedsill.platform {'|'.join(roles)}", file=sys.stderr)
--- a/shedsill/platform/packets.py
+++ b/shedsill/platform/packets.py
@@ -1,13 +1,14 @@
-"""The platform's packet head.
+"""Codec for the platform's packet header.
 
-36 octets, big-endian: flags (0, 1 octet), pad (1, 5), length (6, 2), source
-port (8, 2), destination (10, 4), destination port (14, 2), source (16, 4), echo
-(20, 4), sequence number (24, 4), acknowledgement (28, 4), sum (32, 4).
+The header has 36 bytes, big-endian.  Its fields, with offset and size: flags (0, 1),
+pad (1, 5), length (6, 2), source port (8, 2), destination (10, 4), destination port
+(14, 2), source (16, 4), echo (20, 4), sequence number (24, 4), acknowledgement
+(28, 4), sum (32, 4).
 
-The sum does not cover pad and echo.  Towards agents, balancers put the route's
-urgency and the number of the service into pad, and its times into echo.  Towards
-upstreams, agents put the balancer's IP number into echo, which comes back with a
-bounced packet.
+The sum does not cover pad and echo.  In packets to agents, balancers set pad to the
+route's urgency and the number of the service, and echo to the route's times.  In
+packets to upstreams, agents set echo to the balancer's IP address, which is returned
+with bounced packets.
 """
 
 from __future__ import annotations
@@ -22,11 +23,10 @@
 
 HEADER_BYTES = 36
 LENGTH_TO_ACK = struct.Struct(">HHIHIIII")
-"""Length, source port, destination, destination port, source, echo, sequence
-number and acknowledgement, from octet 6 on."""
+"""Fields from length to acknowledgement, at offset 6."""
 UINT32 = struct.Struct(">I")
 ROUTE_TIMES = struct.Struct(">HH")
-"""A route's timeout and latency objective in milliseconds."""
+"""Timeout and latency objective of a route in milliseconds."""
 MAX_TIME_MILLISECONDS = 0xFFFF
 EMPTY_PAD = bytes(5)
 EMPTY_ECHO = bytes(4)
@@ -34,13 +34,13 @@
 BULK_BIT = 0x80
 URGENCY_SHIFT = 4
 MAX_URGENCY = 7
-"""The first octet of pad, towards agents, says whether the route is bulk, and its
-urgency in 3 bits."""
+"""In packets to agents, the first byte of pad has a bit for bulk routes and 3 bits
+for the urgency."""
 
 BOUNCED_BIT = 2
 _FLAG_BITS = {4: SYN, 128: ACK, 16: FIN, 32: RST, BOUNCED_BIT: BOUNCED}
 _FLAGS = [
-    sum(flag for bit, flag in _FLAG_BITS.items() if octet & bit) for octet in range(256)
+    sum(flag for bit, flag in _FLAG_BITS.items() if byte & bit) for byte in range(256)
 ]
 RESET_FLAGS = 32
 
@@ -48,22 +48,22 @@
 class HeaderCodec:
     """Implements `shedsill.datagram.adapter.PacketCodec`.
 
-    A flow's key is the head's octets 8 to 20 as the caller writes them: its
-    port, the service's address and port, and its address.
+    A flow's key consists of the bytes 8 to 20 of the header of the caller's packets:
+    caller port, service address, service port and caller address.
     """
 
     def decode_caller(self, data: bytes) -> Packet | None:
-        """Read a packet from a caller; None if it is too short."""
+        """Decode a packet from a caller; None if it is too short."""
         if len(data) < HEADER_BYTES:
             return None
         flags = _FLAGS[data[0]]
         length, seq, ack = _decode_numbers(data)
-        # In a caller's opening packet, the acknowledgement counts its copies.
+        # In a SYN, the acknowledgement field is the number of the copy.
         copy = ack if flags == SYN else 0
         return Packet(data[8:20], data[10:16], flags, copy, seq, ack, length, data)
 
     def decode_forwarded(self, data: bytes) -> tuple[Packet, int] | None:
-        """Read a packet from a balancer, and the number of its service."""
+        """Decode a packet from a balancer, with the number of its service."""
         packet = self.decode_caller(data)
         if packet is None:
             return None
@@ -75,7 +75,7 @@
         return packet, UINT32.unpack_from(data, 2)[0]
 
     def decode_upstream(self, data: bytes) -> Packet | None:
-        """Read a packet from an upstream, or one that it bounced."""
+        """Decode a packet that an upstream sent or bounced."""
         if len(data) < HEADER_BYTES:
             return None
         if data[0] & BOUNCED_BIT:
@@ -85,7 +85,7 @@
         return Packet(flow, flow[2:8], _FLAGS[data[0]], 0, seq, ack, length, data)
 
     def _decode_bounced(self, data: bytes) -> Packet | None:
-        """Read a bounced packet; it is the caller's again without the mark."""
+        """Decode a bounced packet, which is the caller's with the bounced bit set."""
         restored = bytes([data[0] & ~BOUNCED_BIT]) + data[1:]
         packet = self.decode_caller(restored)
         assert packet is not None
@@ -96,29 +96,29 @@
     def encode_forwarded(
         self, packet: Packet, service: int, route: Route | None
     ) -> bytes:
-        """Write a caller's packet for an agent."""
+        """Encode a caller's packet for an agent."""
         data = packet.data
         pad = _encode_route(route) + UINT32.pack(service)
         return data[:1] + pad + data[6:20] + _encode_times(route) + data[24:]
 
     def encode_for_upstream(self, packet: Packet, balancer: str) -> bytes:
-        """Write a caller's packet for the upstream."""
+        """Encode a caller's packet for the upstream."""
         data = packet.data
         echo = socket.inet_aton(balancer)
         return data[:1] + EMPTY_PAD + data[6:20] + echo + data[24:]
 
     def encode_reset(self, flow: bytes, seq: int) -> bytes:
-        """Write a reset: no content, sum 0, from the service to the caller."""
+        """Encode a reset from the service to the caller; its sum is 0."""
         ports_and_addresses = flow[6:8] + flow[8:12] + flow[0:2] + flow[2:6]
-        head = bytes([RESET_FLAGS]) + EMPTY_PAD + b"\0\0" + ports_and_addresses
-        return head + EMPTY_ECHO + UINT32.pack(seq) + bytes(8)
+        header = bytes([RESET_FLAGS]) + EMPTY_PAD + b"\0\0" + ports_and_addresses
+        return header + EMPTY_ECHO + UINT32.pack(seq) + bytes(8)
 
     def get_caller_host(self, flow: bytes) -> str:
         """Return the host of the flow's caller."""
         return socket.inet_ntoa(flow[8:12])
 
     def describe_flow(self, flow: bytes) -> str:
-        """Return the address pair as text.
+        """Return the flow's addresses and ports as text.
 
         Examples
         --------
--- a/shedsill/platform/settings.py
+++ b/shedsill/platform/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file, as `deploy/settings.json.in` has it written."""
+"""The platform's settings file; `deploy/settings.json.in` is its template."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 READINESS_PATH = "/-/ready"
 METRICS_PORT_VARIABLE = "SHEDSILL_METRICS_PORT"
 STOP_MARGIN_SECONDS = 1.0
-"""Seconds before the platform's SIGKILL at which a planned stop is over."""
+"""Time between the end of a planned stop and the platform's SIGKILL."""
 
 
 class _Listen(Struct, frozen=True, kw_only=True):
@@ -27,9 +27,9 @@
     Attributes
     ----------
     ready : str
-        Where readiness is asked for.
+        Address for readiness checks.
     control : str
-        Where heartbeats of upstreams come in.
+        Address for heartbeats of upstreams.
     """
 
     packet_addr: str
@@ -48,16 +48,16 @@
 
 
 class _File(Struct, frozen=True, kw_only=True):
-    """The fields that this program uses.
+    """Fields of the settings file; other ones are ignored.
 
     Attributes
     ----------
     port_range : tuple of int
-        First and last port that is free for what nodes say to each other.
+        First and last port available for messages between nodes.
     seeds : tuple of str
-        `control` addresses of up to three VMs, maybe stale.
+        `control` addresses of up to three VMs; may be outdated.
     bootstrap : bool
-        Whether the whole system starts for the first time.
+        Whether the deployment starts for the first time.
     app : str
         Address of the upstream on this VM.
     """
@@ -76,7 +76,7 @@
 
 
 class PlatformSettings(Struct, frozen=True, kw_only=True):
-    """Settings of a node, and where the platform's store is."""
+    """Settings of a node, and the address of the platform's store."""
 
     node: NodeSettings
     store: Address
@@ -87,16 +87,16 @@
 
     def __init__(self, role: Role) -> None:
         self._role = role
-        # pathlib would cost 6 ms at each start, and nothing else here uses it.
+        # Importing pathlib would take 6 ms at each start.
         self._path = os.environ.get(PATH_VARIABLE, "")
         self._modified_at = 0.0
 
     def read(self) -> NodeSettings:
-        """Read and check the node's settings; raises `SettingError`."""
+        """Read and validate the node's settings; raises `SettingError`."""
         return self.read_all().node
 
     def read_all(self) -> PlatformSettings:
-        """Read and check everything; raises `SettingError`."""
+        """Read and validate all settings; raises `SettingError`."""
         try:
             self._modified_at = os.stat(self._path).st_mtime
             with open(self._path, "rb") as file:
@@ -107,16 +107,16 @@
         return parse_settings(text, self._role)
 
     def has_changed(self) -> bool:
-        """Whether the file was written since it was read last."""
+        """Whether the file was modified since it was last read."""
         try:
             return os.stat(self._path).st_mtime != self._modified_at
         except OSError:
-            # Being replaced at this moment; the next look will find it.
+            # The file is being replaced; the next check sees the new one.
             return False
 
 
 def parse_settings(text: bytes, role: Role) -> PlatformSettings:
-    """Read the text of the settings file; raises `SettingError`."""
+    """Parse the content of the settings file; raises `SettingError`."""
     try:
         file = msgspec.json.decode(text, type=_File)
         return PlatformSettings(
--- a/shedsill/platform/store.py
+++ b/shedsill/platform/store.py
@@ -1,7 +1,7 @@
 """Client of the platform's object store.
 
-An object there has `meta` (with its revision, `rev`), `spec` and `status`.  The
-product's value is the `spec`; its version is the revision.
+Its objects have `meta`, with the revision `rev`, `spec` and `status`.  The value of a
+`StoredObject` is the `spec`, its version the revision.
 """
 
 from __future__ import annotations
@@ -35,11 +35,11 @@
 __all__ = ["ObjectStore"]
 
 CALL_TIMEOUT_SECONDS = 0.8
-"""Seconds for one call; the store answers in 4 ms, and in 0.3 s when slow.  A call
-that fell into an outage must not be waited for long after it."""
+"""Timeout of a call.  A slow store responds in 0.3 s; a longer timeout delays retries
+after an outage."""
 
 WATCH_MARGIN_SECONDS = 0.8
-"""Seconds beyond its patience in which a watch has to answer, as any call."""
+"""Time beyond its own timeout in which a watch has to respond."""
 
 T = TypeVar("T")
 
@@ -51,16 +51,16 @@
 
 
 class UnusableAnswerError(Exception):
-    """The store answered something that the call does not expect."""
+    """The store returned a status that the call does not expect."""
 
 
 class _Meta(Struct, frozen=True, kw_only=True):
-    """What the store itself keeps of an object.
+    """Metadata of an object.
 
     Attributes
     ----------
     rev : int
-        The store's revision at the object's last change.
+        Revision of the store at the object's last change.
     """
 
     name: str
@@ -68,21 +68,21 @@
 
 
 class _Object(Struct, frozen=True, kw_only=True):
-    """One object; `spec` is the product's value."""
+    """One object; `spec` holds the value."""
 
     meta: _Meta
     spec: Any = None
 
 
 class _Page(Struct, frozen=True, kw_only=True):
-    """A part of a list.
+    """A page of a list.
 
     Attributes
     ----------
     current_rev : int
-        The store's revision, from which a watch goes on.
+        Revision of the store, from which a watch continues.
     truncated : bool
-        Whether more objects follow the last one by name.
+        Whether the list continues after the last name.
     """
 
     items: list[_Object]
@@ -91,14 +91,14 @@
 
 
 class _Event(Struct, frozen=True, kw_only=True):
-    """A change of one object; `deleted` if it is gone."""
+    """A change of one object."""
 
     object: _Object
     deleted: bool = False
 
 
 class _Events(Struct, frozen=True, kw_only=True):
-    """Answer to a watch; the next one goes on from `current_rev`."""
+    """Response to a watch; the next one continues from `current_rev`."""
 
     events: list[_Event]
     current_rev: int
@@ -111,7 +111,7 @@
         self._client = HttpClient(address)
 
     async def call(self, call: Call) -> Outcome:
-        """Carry out one call; failures come back as `Unavailable`."""
+        """Execute a call; failures are returned as `Unavailable`."""
         writes = isinstance(call, (Put, Delete))
         try:
             return await self._send(call)
@@ -136,9 +136,9 @@
             case Delete():
                 return await self._delete(call)
             case List() | Watch():
-                return Unavailable(reason="one kind a call, on this platform")
+                return Unavailable(reason="this platform allows one kind for each call")
             case ListMachines():
-                return Unavailable(reason="this platform keeps no list of VMs")
+                return Unavailable(reason="this platform has no list of VMs")
 
     async def _get(self, kind: str, name: str) -> Outcome:
         response = await self._request("GET", f"{OBJECTS_PATH}/{kind}/{name}")
@@ -166,12 +166,12 @@
             return HistoryGone()
         body = _decode_body(response, _Events)
         latest = {event.object.meta.name: event for event in body.events}
-        alive = [e.object for e in latest.values() if not e.deleted]
+        present = [e.object for e in latest.values() if not e.deleted]
         deleted = [name for name, event in latest.items() if event.deleted]
         return Changed(
             names=tuple(f"{kind}/{name}" for name in latest),
             revision=body.current_rev,
-            objects=tuple(_build_object(kind, item) for item in alive),
+            objects=tuple(_build_object(kind, item) for item in present),
             deleted=tuple(deleted),
         )
 
@@ -192,7 +192,7 @@
         target = f"{OBJECTS_PATH}/{call.kind}/{call.name}?rev={call.expected}"
         response = await self._request("DELETE", target)
         if response.status in SUCCESS_STATUSES:
-            # The object is gone, whatever the answer says of it.
+            # The object no longer exists, whatever the response contains.
             return Stored(version=0)
         return _decode_write_outcome(call.kind, response)
 
@@ -207,10 +207,10 @@
         return await self._client.request(method, target, body, timeout=timeout)
 
 
-def _decode_body(response: Response, form: type[T]) -> T:
+def _decode_body(response: Response, body_type: type[T]) -> T:
     if response.status not in SUCCESS_STATUSES:
-        raise UnusableAnswerError(f"status {response.status}")
-    return msgspec.json.decode(response.body, type=form)
+        raise UnusableAnswerError(f"unexpected status {response.status}")
+    return msgspec.json.decode(response.body, type=body_type)
 
 
 def _decode_write_outcome(kind: str, response: Response) -> Outcome:
--- a/shedsill/resources.py
+++ b/shedsill/resources.py
@@ -1,4 +1,4 @@
-"""Resources that operators write: services, sets of upstreams, planned changes."""
+"""Resources written by operators: services, sets of upstreams, planned changes."""
 
 from __future__ import annotations
 
