--- a/shedsill/tests/test_checkpoint_store.py
+++ b/shedsill/tests/test_checkpoint_store.py
@@ -1,4 +1,4 @@
-"""The checkpoint of open flows as it is written and read."""
+"""Reads and writes of the checkpoint of open flows in the platform's store."""
 
 from __future__ import annotations
 
@@ -27,45 +27,47 @@
 
 
 class Recorder:
-    """Gets what a checkpoint store reads and notes."""
+    """Records the checkpoints and log events of a checkpoint store."""
 
     def __init__(self) -> None:
-        self.taken: list[tuple[dict, bool]] = []
-        self.notes: list[WriteLog] = []
+        self.checkpoints: list[tuple[dict, bool]] = []
+        self.records: list[WriteLog] = []
         self.ages: list[float] = []
 
-    def take(self, parts: dict, age: float, at_start: bool) -> None:
-        self.taken.append((parts, at_start))
+    def handle_checkpoint(self, parts: dict, age: float, at_start: bool) -> None:
+        self.checkpoints.append((parts, at_start))
         self.ages.append(age)
 
-    def make_store(self, platform) -> CheckpointStore:
+    def create_store(self, platform) -> CheckpointStore:
         return CheckpointStore(
-            platform, write_log=self.notes.append, handle_checkpoint=self.take
+            platform,
+            write_log=self.records.append,
+            handle_checkpoint=self.handle_checkpoint,
         )
 
 
-def test_what_was_written_is_read_by_another_run() -> None:
+def test_written_checkpoint_is_read_by_next_incarnation() -> None:
     async def scenario() -> None:
         platform = MemoryPlatform()
         recorder = Recorder()
-        await recorder.make_store(platform).write(PARTS)
-        await recorder.make_store(platform).read()
-        assert recorder.taken == [(PARTS, True)]
+        await recorder.create_store(platform).write(PARTS)
+        await recorder.create_store(platform).read()
+        assert recorder.checkpoints == [(PARTS, True)]
         assert recorder.ages[0] < 1.0
 
     asyncio.run(scenario())
 
 
-def test_a_new_collector_takes_over_what_the_last_one_has_written() -> None:
-    """Its first write meets the object; the second one replaces it."""
+def test_first_write_of_new_collector_reads_earlier_checkpoint() -> None:
+    """The first write returns a conflict; the second one replaces the object."""
 
     async def scenario() -> None:
         platform = MemoryPlatform()
         first, second = Recorder(), Recorder()
-        await first.make_store(platform).write(PARTS)
-        store = second.make_store(platform)
+        await first.create_store(platform).write(PARTS)
+        store = second.create_store(platform)
         await store.write({})
-        assert second.taken == [(PARTS, False)]
+        assert second.checkpoints == [(PARTS, False)]
         await store.write({"10.0.0.2": []})
         found = await platform.call(Get(kind=CHECKPOINT_KIND, name=CHECKPOINT_NAME))
         assert found.object.value["parts"] == {"10.0.0.2": []}
@@ -76,45 +78,49 @@
 @pytest.mark.parametrize(
     "value", [{}, {"written_at": 1.0, "parts": 3}, {"written_at": "x", "parts": {}}]
 )
-def test_a_value_of_another_form_is_logged_and_replaced(value: dict) -> None:
+def test_invalid_checkpoint_is_logged_and_replaced(value: dict) -> None:
     async def scenario() -> None:
         platform = MemoryPlatform()
         put = Put(kind=CHECKPOINT_KIND, name=CHECKPOINT_NAME, value=value, expected=0)
         await platform.call(put)
         recorder = Recorder()
-        store = recorder.make_store(platform)
+        store = recorder.create_store(platform)
         await store.read()
-        assert not recorder.taken
-        assert recorder.notes[0].event.name == "MESSAGE_REFUSED"
+        assert not recorder.checkpoints
+        assert recorder.records[0].event.name == "MESSAGE_REFUSED"
         await store.write(PARTS)
         await store.read()
-        assert recorder.taken == [(PARTS, True)]
+        assert recorder.checkpoints == [(PARTS, True)]
 
     asyncio.run(scenario())
 
 
-class AwayPlatform:
-    """A store that answers nothing for a number of calls."""
+class UnavailablePlatform:
+    """A store that is unavailable for a number of calls."""
 
-    def __init__(self, platform: MemoryPlatform, *, away: int) -> None:
+    def __init__(self, platform: MemoryPlatform, *, failures: int) -> None:
         self._platform = platform
-        self.away = away
+        self.failures = failures
 
     async def call(self, call):
-        self.away -= 1
-        if self.away >= 0:
+        self.failures -= 1
+        if self.failures >= 0:
             return Unavailable(reason="away")
         return await self._platform.call(call)
 
 
-def test_a_store_that_is_away_at_the_start_is_asked_again() -> None:
+def test_read_is_retried_while_store_is_unavailable() -> None:
     async def scenario() -> None:
         platform = MemoryPlatform()
         recorder = Recorder()
-        await recorder.make_store(platform).write(PARTS)
-        await recorder.make_store(AwayPlatform(platform, away=2)).read()
-        assert recorder.taken == [(PARTS, True)]
-        await recorder.make_store(AwayPlatform(platform, away=2)).write(PARTS)
-        assert [note.event.name for note in recorder.notes] == ["PLATFORM_FAILED"] * 3
+        await recorder.create_store(platform).write(PARTS)
+        await recorder.create_store(UnavailablePlatform(platform, failures=2)).read()
+        assert recorder.checkpoints == [(PARTS, True)]
+        await recorder.create_store(UnavailablePlatform(platform, failures=2)).write(
+            PARTS
+        )
+        assert [record.event.name for record in recorder.records] == [
+            "PLATFORM_FAILED"
+        ] * 3
 
     asyncio.run(scenario())
--- a/shedsill/tests/test_connections.py
+++ b/shedsill/tests/test_connections.py
@@ -1,11 +1,7 @@
-"""Calls over connections that are slow or go silent, in the HTTP/3 product.
-
-Seen on opaque flows: a configuration was not in force on two balancers 5.8 s after it
-had been confirmed.  Their watches waited on connections that had gone silent without a
-reset, which nothing noticed for 26 s, and a large configuration could not be read over
-a slow link at all, since its whole answer had to come within one limit.  What proved
-it: the same series of faults played on the code before and after each was mended.
-The daemons for HTTP/3 requests make the same calls with another library.
+"""Clients of the HTTP/3 daemons on connections that are slow or go silent.
+
+Large responses over slow links must not time out, and watches must not wait forever on
+connections that went silent without a reset.
 """
 
 from __future__ import annotations
@@ -26,14 +22,14 @@
 TIMEOUT = 0.4
 CONTENT = json.dumps({"items": [], "revision": 7, "padding": "x" * 60}).encode()
 PARTS = 6
-NOTICE_LIMIT = 4.0
-"""Seconds within which a connection that went silent has to be noticed."""
+MAX_DETECTION_SECONDS = 4.0
+"""Time within which a silent connection has to be detected."""
 
 
-async def serve_slowly(
+async def run_with_slow_server(
     pause: float, use: Callable[[str], Awaitable[object]], *, parts: int = PARTS
 ) -> object:
-    """Answer each call in parts with pauses between them, the last ones never."""
+    """Respond in parts with pauses, and never send the last ones."""
 
     step = len(CONTENT) // PARTS + 1
     content = [CONTENT[start : start + step] for start in range(0, len(CONTENT), step)]
@@ -50,19 +46,19 @@
         await platform.close()
 
 
-def test_a_list_that_keeps_coming_is_waited_for() -> None:
-    outcome = asyncio.run(serve_slowly(TIMEOUT / 3, list_resources))
+def test_slow_list_is_read_completely() -> None:
+    outcome = asyncio.run(run_with_slow_server(TIMEOUT / 3, list_resources))
     assert isinstance(outcome, Listing)
     assert outcome.revision == 7
 
 
-def test_a_list_that_stops_is_given_up() -> None:
-    outcome = asyncio.run(serve_slowly(0.0, list_resources, parts=2))
+def test_stalled_list_is_unavailable() -> None:
+    outcome = asyncio.run(run_with_slow_server(0.0, list_resources, parts=2))
     assert isinstance(outcome, Unavailable)
 
 
-def read_notice_time(sock: socket.socket) -> float:
-    """Return the seconds after which the kernel gives a silent connection up."""
+def read_detection_time(sock: socket.socket) -> float:
+    """Return the seconds after which the kernel closes a silent connection."""
     if not sock.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE):
         return float("inf")
     idle, interval, probes = (
@@ -72,40 +68,44 @@
     return idle + interval * probes
 
 
-async def find_notice_time(session: aiohttp.ClientSession, url: str) -> float:
-    """Return the same for a connection of a session, while an answer comes on it."""
+async def read_session_detection_time(
+    session: aiohttp.ClientSession, url: str
+) -> float:
+    """Return the same for a connection of a session during a response."""
     async with session.get(url) as response:
         assert response.connection is not None
         transport = response.connection.transport
         assert transport is not None
-        return read_notice_time(transport.get_extra_info("socket"))
+        return read_detection_time(transport.get_extra_info("socket"))
 
 
-async def open_platform(url: str) -> float:
+async def read_platform_detection_time(url: str) -> float:
     platform = HttpPlatform(url)
     await platform.call(List(kinds=("service",)))
     assert platform._session is not None
     try:
-        return await find_notice_time(platform._session, url)
+        return await read_session_detection_time(platform._session, url)
     finally:
         await platform.close()
 
 
-async def open_upstream(url: str) -> float:
+async def read_upstream_detection_time(url: str) -> float:
     client = UpstreamClient(url, shed_statuses=frozenset(), load_path="/load")
     await client.start()
     assert client._session is not None
     try:
-        return await find_notice_time(client._session, url)
+        return await read_session_detection_time(client._session, url)
     finally:
         await client.close()
 
 
-@pytest.mark.parametrize("use", [open_platform, open_upstream])
-def test_a_connection_that_goes_silent_is_noticed(
+@pytest.mark.parametrize(
+    "use", [read_platform_detection_time, read_upstream_detection_time]
+)
+def test_silent_connection_is_detected(
     use: Callable[[str], Awaitable[object]],
 ) -> None:
-    """A watch waits long with nothing to send; a stream of an upstream has no end."""
-    seconds = asyncio.run(serve_slowly(0.0, use))
+    """A watch or a stream of an upstream sends nothing while it waits."""
+    seconds = asyncio.run(run_with_slow_server(0.0, use))
     assert isinstance(seconds, float | int)
-    assert seconds < NOTICE_LIMIT
+    assert seconds < MAX_DETECTION_SECONDS
--- a/shedsill/tests/test_datagram_http.py
+++ b/shedsill/tests/test_datagram_http.py
@@ -1,4 +1,4 @@
-"""How long the HTTP client of nodes waits for an answer."""
+"""Timeouts and keep-alive of the HTTP client and server of nodes."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 
 
 async def fetch(pause: float, *, parts: int = PARTS) -> Response:
-    """Read an answer whose parts come with pauses between them.
+    """Request a response whose parts are sent with pauses between them.
 
-    Of `PARTS` parts that the head announces, only `parts` are sent.
+    The header announces `PARTS` parts, of which `parts` are sent.
     """
 
     async with serve_parts([BODY] * PARTS, pause=pause, sent=parts) as port:
@@ -30,19 +30,18 @@
             client.close()
 
 
-def test_an_answer_that_keeps_coming_is_waited_for() -> None:
-    """Found after restarts with a large configuration: balancers on slow links gave
-    the list up after 0.8 s, again and again, and had no table for seconds."""
+def test_slow_response_is_read_completely() -> None:
+    """Balancers on slow links could not read a large configuration in one timeout."""
     response = asyncio.run(fetch(TIMEOUT / 4))
     assert response.body == BODY * PARTS
 
 
-def test_an_answer_that_stops_is_given_up() -> None:
+def test_stalled_response_times_out() -> None:
     with pytest.raises(TimeoutError):
         asyncio.run(fetch(0.0, parts=2))
 
 
-def test_an_answer_that_does_not_begin_is_given_up() -> None:
+def test_response_that_does_not_start_times_out() -> None:
     with pytest.raises(TimeoutError):
         asyncio.run(fetch(3 * TIMEOUT))
 
@@ -53,16 +52,15 @@
     (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL),
     (socket.IPPROTO_TCP, socket.TCP_KEEPCNT),
 )
-CONTACT_LIMIT = 4.0
-"""Seconds after which a calm node has to be in touch again, on the strictest
-deployment."""
+MAX_DETECTION_SECONDS = 4.0
+"""Time after which a node must have detected a silent connection."""
 
 
 async def read_keepalive() -> list[list[int]]:
-    """Return the options of both ends of a connection."""
+    """Return the keep-alive options at both ends of a connection."""
     loop = asyncio.get_running_loop()
-    answer = Response(status=200, body=b"")
-    protocol = _ServerProtocol(lambda method, path, body: answer)
+    response = Response(status=200, body=b"")
+    protocol = _ServerProtocol(lambda method, path, body: response)
     server = await loop.create_server(lambda: protocol, "127.0.0.1", 0)
     client = HttpClient(Address("127.0.0.1", server.sockets[0].getsockname()[1]))
     try:
@@ -75,9 +73,9 @@
         server.close()
 
 
-def test_both_ends_notice_a_connection_that_goes_silent() -> None:
+def test_both_ends_detect_silent_connection() -> None:
     options = asyncio.run(read_keepalive())
     assert len(options) == 2
     for enabled, idle, interval, probes in options:
         assert enabled
-        assert idle + interval * probes < CONTACT_LIMIT
+        assert idle + interval * probes < MAX_DETECTION_SECONDS
--- a/shedsill/tests/test_platform_node.py
+++ b/shedsill/tests/test_platform_node.py
@@ -1,4 +1,4 @@
-"""How a node's process begins."""
+"""Start of a node's process."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from shedsill.platform import node
 
 
-class Ended:
-    """A node that ends at once."""
+class StoppedNode:
+    """A node that stops immediately."""
 
     failure = None
 
@@ -19,10 +19,10 @@
         assert gc.isenabled()
 
 
-def test_the_collector_runs_again_once_the_node_is_made(
+def test_garbage_collection_is_enabled_when_node_runs(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(node, "create_node", lambda file, settings: Ended())
+    monkeypatch.setattr(node, "create_node", lambda file, settings: StoppedNode())
     gc.disable()
     try:
         assert asyncio.run(node.run_node(None, None)) == 0  # type: ignore[arg-type]
--- a/shedsill/tests/test_platform_packets.py
+++ b/shedsill/tests/test_platform_packets.py
@@ -1,4 +1,4 @@
-"""The packet head, against the platform's documented example."""
+"""The codec of the packet header, with the platform's documented examples."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 SERVICE = (0xC6120001, 443)
 
 
-def test_the_documented_example_is_read() -> None:
+def test_documented_example_is_decoded() -> None:
     packet = CODEC.decode_caller(EXAMPLE)
     assert packet is not None
     assert (packet.flags, packet.seq, packet.length) == (SYN, 0x11223344, 0)
@@ -34,13 +34,13 @@
     assert CODEC.get_caller_host(packet.flow) == "100.64.0.7"
 
 
-def test_the_documented_reset_is_written() -> None:
+def test_documented_reset_is_encoded() -> None:
     packet = CODEC.decode_caller(EXAMPLE)
     assert packet is not None
     assert CODEC.encode_reset(packet.flow, 0) == EXAMPLE_RESET
 
 
-def test_both_directions_have_one_key() -> None:
+def test_both_directions_have_the_same_flow_key() -> None:
     there = CODEC.decode_caller(make_packet(CALLER, SERVICE, 128))
     back = CODEC.decode_upstream(make_packet(SERVICE, CALLER, 128))
     assert there is not None and back is not None
@@ -48,14 +48,14 @@
     assert there.endpoint == back.endpoint
 
 
-def test_copies_of_an_opening_are_counted() -> None:
+def test_copies_of_syn_are_numbered() -> None:
     packet = CODEC.decode_caller(make_packet(CALLER, SERVICE, 4, ack=2))
     assert packet is not None
     assert packet.copy == 2
 
 
 @given(st.binary(max_size=1200), st.integers(0, 2**32 - 1), st.sampled_from([4, 128]))
-def test_what_the_sum_covers_is_never_changed(
+def test_forwarding_preserves_bytes_covered_by_sum(
     content: bytes, number: int, bits: int
 ) -> None:
     data = make_packet(CALLER, SERVICE, bits, seq=7, ack=9, content=content)
@@ -68,9 +68,9 @@
     assert decoded[0].bulk == ROUTE.bulk
     assert decoded[0].timeout == ROUTE.timeout
     assert decoded[0].objective == ROUTE.objective
-    given_on = CODEC.encode_for_upstream(decoded[0], "10.0.0.9")
-    check_packet(given_on)
-    bounced = CODEC.decode_upstream(bytes([given_on[0] | 2]) + given_on[1:])
+    for_upstream = CODEC.encode_for_upstream(decoded[0], "10.0.0.9")
+    check_packet(for_upstream)
+    bounced = CODEC.decode_upstream(bytes([for_upstream[0] | 2]) + for_upstream[1:])
     assert bounced is not None
     assert bounced.flags & BOUNCED and bounced.balancer == "10.0.0.9"
     assert bounced.flow == packet.flow
@@ -80,7 +80,7 @@
 
 
 @given(st.binary(max_size=80))
-def test_any_bytes_are_read_or_refused(data: bytes) -> None:
+def test_arbitrary_bytes_are_decoded_or_refused(data: bytes) -> None:
     packets = (
         CODEC.decode_caller(data),
         CODEC.decode_forwarded(data),
@@ -89,7 +89,7 @@
     assert all((packet is None) == (len(data) < HEADER_BYTES) for packet in packets)
 
 
-def test_resets_carry_what_the_caller_expects() -> None:
+def test_reset_has_expected_sequence_number_and_flags() -> None:
     packet = CODEC.decode_caller(make_packet(CALLER, SERVICE, 128))
     assert packet is not None
     reset = CODEC.decode_upstream(CODEC.encode_reset(packet.flow, 12345))
