--- a/shedsill/_limits.py
+++ b/shedsill/_limits.py
@@ -25,10 +25,10 @@
     Examples
     --------
     >>> rate = Rate(per_second=1.0, burst=2.0)
-    >>> bucket, taken = take_token(None, rate, 0.0)
-    >>> bucket, taken = take_token(bucket, rate, 0.0)
-    >>> bucket, taken = take_token(bucket, rate, 0.0)
-    >>> taken, take_token(bucket, rate, 1.0)[1]
+    >>> bucket, allowed = take_token(None, rate, 0.0)
+    >>> bucket, allowed = take_token(bucket, rate, 0.0)
+    >>> bucket, allowed = take_token(bucket, rate, 0.0)
+    >>> allowed, take_token(bucket, rate, 1.0)[1]
     (False, True)
     """
     if bucket is None:
--- a/shedsill/datagram/_runtime/balancer.py
+++ b/shedsill/datagram/_runtime/balancer.py
@@ -178,8 +178,8 @@
         found = await self.platform.call(Get(kind=REPORT_KIND, name=report.host))
         match found:
             case Found(object=StoredObject(version=version) as item):
-                kept = self._read_report(item)
-                if kept is None or kept.incarnation == report.incarnation:
+                stored = self._read_report(item)
+                if stored is None or stored.incarnation == report.incarnation:
                     delete = Delete(
                         kind=REPORT_KIND, name=report.host, expected=version
                     )
--- a/shedsill/tests/test_platform_packets.py
+++ b/shedsill/tests/test_platform_packets.py
@@ -89,7 +89,7 @@
     assert all((packet is None) == (len(data) < HEADER_BYTES) for packet in packets)
 
 
-def test_reset_has_expected_sequence_number_and_flags() -> None:
+def test_reset_has_expected_header_fields() -> None:
     packet = CODEC.decode_caller(make_packet(CALLER, SERVICE, 128))
     assert packet is not None
     reset = CODEC.decode_upstream(CODEC.encode_reset(packet.flow, 12345))
--- a/shedsill/tests/test_silent_connections.py
+++ b/shedsill/tests/test_silent_connections.py
@@ -62,14 +62,14 @@
         """Answer the calls of a connection until it is silent."""
         number = self.connections
         self.connections += 1
-        while head := await self._read_head(reader):
+        while head := await self._read_header(reader):
             body = await self._answer(head)
             if number < self.silent:
                 await asyncio.sleep(60.0)
             answer = f"HTTP/1.1 200 -\r\nContent-Length: {len(body)}\r\n\r\n"
             writer.write(answer.encode() + body)
 
-    async def _read_head(self, reader: asyncio.StreamReader) -> str:
+    async def _read_header(self, reader: asyncio.StreamReader) -> str:
         try:
             head = (await reader.readuntil(b"\r\n\r\n")).decode()
         except (asyncio.IncompleteReadError, ConnectionError):
