--- a/shedsill/datagram/_runtime/tables.py
+++ b/shedsill/datagram/_runtime/tables.py
@@ -45,9 +45,7 @@
     try:
         content = inflater.decompress(data, MAX_BODY_BYTES)
         if not inflater.eof:
-            raise DecodeError(
-                f"table is truncated or exceeds {MAX_BODY_BYTES} bytes"
-            )
+            raise DecodeError(f"table is truncated or exceeds {MAX_BODY_BYTES} bytes")
         return msgspec.json.decode(content)
     except (zlib.error, msgspec.DecodeError) as error:
         raise DecodeError(f"invalid table: {error}") from error
