--- a/shedsill/datagram/_runtime/log.py
+++ b/shedsill/datagram/_runtime/log.py
@@ -1,9 +1,8 @@
 """Non-blocking JSON log on standard output.
 
-Lines are buffered and written together between events.  Lines that exceed the
-buffer or their rate limit are dropped and counted.  Importing loguru, which writes
-synchronously, takes 0.09 s of CPU and 12 MB, which exceeds the budget for the start
-of a node.
+Lines are buffered and written together on each tick.  Lines that exceed the buffer or
+their rate limit are dropped and counted.  loguru writes synchronously, and its import
+takes 0.09 s of CPU and 12 MB, about the budget for the start of a node.
 """
 
 from __future__ import annotations
--- a/shedsill/datagram/_runtime/tables.py
+++ b/shedsill/datagram/_runtime/tables.py
@@ -1,6 +1,6 @@
 """Transfer of the forwarding table between balancers.
 
-A balancer reads the table from another one if its own reads of the store fail.
+A balancer that has not received a table from the store reads it from one that has.
 Since many may do so at the same time, over links that also carry the nodes' messages,
 tables are compressed and their rate is limited.
 """
