--- a/shedsill/http3/_effects.py
+++ b/shedsill/http3/_effects.py
@@ -1,4 +1,4 @@
-"""Everything that a reducer can ask the runtime to do, as values."""
+"""Effects that the reducers return and the runtime executes."""
 
 from __future__ import annotations
 
@@ -33,12 +33,14 @@
 
 @frozen(kw_only=True)
 class Deliver:
-    """Hand a datagram to QUIC; replies go through the balancer `reply_to`.
+    """Deliver a datagram to the QUIC endpoint.
 
     Attributes
     ----------
+    reply_to : Address
+        Balancer through which replies are sent.
     can_open_connection : bool
-        Whether it may open a connection without a Retry token.
+        Whether the datagram may open a connection without a Retry token.
     """
 
     caller: Address
@@ -49,7 +51,7 @@
 
 @frozen(kw_only=True)
 class RefuseFlow:
-    """Answer an Initial with a connection close."""
+    """Answer an Initial packet with CONNECTION_CLOSE."""
 
     caller: Address
     datagram: bytes
@@ -58,7 +60,7 @@
 
 @frozen(kw_only=True)
 class RequireRetry:
-    """Answer an Initial with a Retry packet."""
+    """Answer an Initial packet with a Retry packet."""
 
     caller: Address
     datagram: bytes
@@ -77,7 +79,7 @@
 
 @frozen(kw_only=True)
 class MoveReplyPath:
-    """Send replies that went through one balancer through another."""
+    """Send the replies of flows that use one balancer through another one."""
 
     old: Address
     new: Address
@@ -85,14 +87,14 @@
 
 @frozen(kw_only=True)
 class ApplyConfiguration:
-    """Bring sockets and identity in line with a new configuration."""
+    """Update sockets and identity to a new configuration."""
 
     configuration: Configuration
 
 
 @frozen(kw_only=True)
 class PullConfiguration:
-    """Ask a peer for its configuration."""
+    """Request the configuration from a peer."""
 
     peer: Address
 
@@ -113,9 +115,9 @@
     Attributes
     ----------
     buffer_answer : bool
-        Whether to collect the whole answer before any of it is passed on.
+        Whether to buffer the complete answer before forwarding any of it.
     ticket : str
-        For the answer's ``shedsill-ticket``; a later request may use it.
+        Value of the answer's ``shedsill-ticket``, for a later request.
     """
 
     request: int
@@ -125,14 +127,14 @@
 
 @frozen(kw_only=True)
 class AbortUpstreamRequest:
-    """Close the upstream connection of a request."""
+    """Abort a request by closing its upstream connection."""
 
     request: int
 
 
 @frozen(kw_only=True)
 class SendAnswer:
-    """Give a request its whole answer."""
+    """Send a complete answer to a request."""
 
     request: int
     answer: RecordedAnswer
@@ -142,12 +144,12 @@
 
 @frozen(kw_only=True)
 class RefuseRequest:
-    """Give a request its final answer without one of the upstream's.
+    """Answer a request with an error response of the agent's own.
 
     Attributes
     ----------
     retry_after : int
-        Seconds; 0 where there is nothing to wait for.
+        Seconds for ``Retry-After``; 0 to omit the header.
     """
 
     request: int
@@ -160,14 +162,14 @@
 
 @frozen(kw_only=True)
 class ResetAnswerStream:
-    """Reset a stream whose answer cannot be completed."""
+    """Reset the stream of an answer that cannot be completed."""
 
     request: int
 
 
 @frozen(kw_only=True)
 class ForwardRequest:
-    """Hand a request to the agent of another upstream."""
+    """Forward a request to the agent of another upstream."""
 
     request: int
     peer: Address
@@ -176,14 +178,14 @@
 
 @frozen(kw_only=True)
 class DeclineForwardedRequest:
-    """Tell the agent that passed a request on that its record is elsewhere."""
+    """Decline a forwarded request whose records another agent holds."""
 
     request: int
 
 
 @frozen(kw_only=True)
 class SendHandover:
-    """Hand the record of outcomes to the successor."""
+    """Transfer the records of outcomes to the successor."""
 
     peer: Address
     upstream: int
--- a/shedsill/http3/_events.py
+++ b/shedsill/http3/_events.py
@@ -1,8 +1,8 @@
-"""Everything that can happen to a node, as values.
+"""Events that the reducers handle.
 
-Times are seconds on the node's monotonic clock; no decision looks at the wall
-clock.  Seeds come from the runtime's random source, so that
-the reducers need none.
+Times are seconds on the node's monotonic clock; no decision uses the wall clock.
+Seeds come from the runtime's random source, so that the reducers are
+deterministic.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 @frozen(kw_only=True)
 class Tick:
-    """Time has passed."""
+    """Periodic timer event."""
 
     now: float
     seed: int
@@ -28,7 +28,7 @@
 
 @frozen(kw_only=True)
 class CallerDatagram:
-    """A datagram came to a service address; `service` is its number."""
+    """A datagram arrived at the address of service number `service`."""
 
     service: int
     caller: Address
@@ -38,7 +38,7 @@
 
 @frozen(kw_only=True)
 class FrameReceived:
-    """A frame came from another node, tag checked."""
+    """An authenticated frame arrived from another node."""
 
     frame: Frame
     source: Address
@@ -47,7 +47,7 @@
 
 @frozen(kw_only=True)
 class ConfigurationOffered:
-    """A configuration came from the platform or a peer."""
+    """The platform or a peer returned a configuration."""
 
     configuration: Configuration
     now: float
@@ -55,14 +55,14 @@
 
 @frozen(kw_only=True)
 class PullFailed:
-    """A peer did not hand on its configuration."""
+    """A peer did not return its configuration."""
 
     peer: Address
 
 
 @frozen(kw_only=True)
 class PlatformAnswered:
-    """The platform answered a call, or will not."""
+    """A call to the platform has completed or failed."""
 
     purpose: Purpose
     outcome: Outcome
@@ -79,7 +79,7 @@
 
 @frozen(kw_only=True)
 class FlowOpened:
-    """The agent began to serve a connection."""
+    """A connection to the agent was opened."""
 
     flow: int
     now: float
@@ -87,7 +87,7 @@
 
 @frozen(kw_only=True)
 class FlowClosed:
-    """A connection has ended."""
+    """A connection was closed."""
 
     flow: int
     now: float
@@ -95,20 +95,20 @@
 
 @frozen(kw_only=True)
 class RequestArrived:
-    """A request can be decided on.
+    """A request has arrived and can be admitted.
 
     Attributes
     ----------
     request : int
-        Number that the runtime gave it; grows.
+        Number assigned by the runtime, in ascending order.
     flow, stream : int
-        Where it came from; both -1 where another agent passed it on.
+        Connection and stream of the request; both -1 if another agent forwarded it.
     key : str
-        Text of ``Idempotency-Key``; empty where there was none.
+        Value of ``Idempotency-Key``; empty if absent.
     fingerprint : bytes
         Digest of method, path and body.
     body_complete : bool
-        Whether the whole body has arrived.
+        Whether the complete body has arrived.
     """
 
     request: int
@@ -124,18 +124,18 @@
 
     @property
     def from_peer(self) -> bool:
-        """Whether another agent passed the request on."""
+        """Whether another agent forwarded the request."""
         return self.flow < 0
 
 
 @frozen(kw_only=True)
 class RequestCancelled:
-    """The caller gave the request up, or its connection ended.
+    """The caller cancelled the request, or its connection ended.
 
     Attributes
     ----------
     deliberate : bool
-        Whether the caller said so, rather than its connection ending.
+        Whether the caller cancelled the request explicitly.
     """
 
     request: int
@@ -145,7 +145,7 @@
 
 @frozen(kw_only=True)
 class UpstreamAnswerStarted:
-    """The first part of an answer that is not held back went to the caller."""
+    """The first part of an unbuffered answer was sent to the caller."""
 
     request: int
     now: float
@@ -153,14 +153,14 @@
 
 @frozen(kw_only=True)
 class UpstreamAnswered:
-    """The whole answer has come.
+    """The upstream's answer is complete.
 
     Attributes
     ----------
     answer : RecordedAnswer or None
-        None where the answer went to the caller as it came.
+        None if the answer was streamed to the caller.
     shed : bool
-        Whether the upstream said that it did not run the request.
+        Whether the upstream reported that it did not run the request.
     """
 
     request: int
@@ -172,12 +172,12 @@
 
 @frozen(kw_only=True)
 class UpstreamFailed:
-    """No whole answer will come.
+    """The upstream request failed without a complete answer.
 
     Attributes
     ----------
     sent : bool
-        Whether a byte of the request may have reached the upstream.
+        Whether any byte of the request may have reached the upstream.
     """
 
     request: int
@@ -188,7 +188,7 @@
 
 @frozen(kw_only=True)
 class UpstreamLoadRead:
-    """The upstream's load endpoint answered; it may lag or mislead."""
+    """The upstream's load endpoint answered; its value may be stale or wrong."""
 
     busy: int
     now: float
@@ -196,7 +196,7 @@
 
 @frozen(kw_only=True)
 class PeerAnswered:
-    """The agent to which a request was passed has answered."""
+    """The agent to which a request was forwarded has answered."""
 
     request: int
     answer: RecordedAnswer
@@ -206,13 +206,13 @@
 
 @frozen(kw_only=True)
 class PeerFailed:
-    """The agent to which a request was passed gave no usable answer.
+    """The agent to which a request was forwarded gave no usable answer.
 
     Attributes
     ----------
     not_accepted : bool
-        Whether it certainly did not take the request: it could not be reached,
-        or it has handed its record over.
+        Whether the agent certainly did not accept the request: it could not be
+        reached, or it has handed its records over.
     """
 
     request: int
@@ -223,7 +223,7 @@
 
 @frozen(kw_only=True)
 class HandoverReceived:
-    """A leaving agent hands over its record of outcomes."""
+    """A leaving agent transfers its records of outcomes."""
 
     transfers: tuple[Transfer, ...]
     now: float
@@ -231,7 +231,7 @@
 
 @frozen(kw_only=True)
 class HandoverDone:
-    """The successor has taken the record, or not."""
+    """The successor has accepted or declined the records."""
 
     accepted: bool
     now: float
--- a/shedsill/http3/_placement.py
+++ b/shedsill/http3/_placement.py
@@ -1,9 +1,9 @@
-"""Which upstream takes a new flow.
+"""Placement of new flows on upstreams.
 
 A balancer's first candidate depends only on the service, the caller's first
-connection ID and the accepted configuration, so that every balancer sends all
-packets of one handshake to the same agent.  That agent decides by load whether
-it keeps the flow or passes it on, once, to the alternate.
+connection ID and the accepted configuration, so every balancer sends all packets
+of a handshake to the same agent.  That agent compares loads and either keeps the
+flow or passes it on, at most once, to the alternate candidate.
 """
 
 from __future__ import annotations
@@ -22,22 +22,22 @@
 
 @frozen(kw_only=True)
 class HashOnly:
-    """Keep every flow at its first candidate that is open."""
+    """Place each flow on the first candidate that accepts new flows."""
 
 
 @frozen(kw_only=True)
 class TwoCandidates:
-    """Pass a flow on when the alternate is less full by more than a margin.
+    """Pass a flow on if the alternate is less utilized by more than a margin.
 
-    An upstream whose queue is as long as its slots counts as fuller than one
-    whose queue is not, however many flows each has.
+    A saturated upstream counts as more utilized than an unsaturated one,
+    whatever their numbers of flows.
 
     Attributes
     ----------
     margin : float
-        Difference of flows, as a share of one flow's weight.
+        Difference in flows above which a flow is passed on.
     stale_after : float
-        Age in seconds above which the alternate's load is not believed.
+        Age in seconds above which the alternate's load is ignored.
     """
 
     margin: float = 0.5
@@ -50,30 +50,30 @@
 def rank_upstreams(
     upstreams: Iterable[AcceptedUpstream], service: int, cid: bytes
 ) -> tuple[AcceptedUpstream, ...]:
-    """Order active upstreams by rendezvous hash, the first candidate first.
+    """Order active upstreams by rendezvous hash, first candidate first.
 
     Parameters
     ----------
     cid : bytes
-        The connection ID that the caller chose for its first packet.
+        Connection ID that the caller chose for its first packet.
     """
     active = [u for u in upstreams if u.state == UpstreamState.ACTIVE]
     prefix = service.to_bytes(2, "big") + cid
 
-    def weigh(upstream: AcceptedUpstream) -> int:
+    def get_weight(upstream: AcceptedUpstream) -> int:
         return xxhash.xxh3_64_intdigest(prefix, seed=upstream.number)
 
-    return tuple(sorted(active, key=weigh, reverse=True))
+    return tuple(sorted(active, key=get_weight, reverse=True))
 
 
 def get_utilization(load: Load, *, slow_start_share: float = 1.0) -> float:
-    """Return how full an upstream is: its flows over its limit.
+    """Return the share of an upstream's flow limit that is in use.
 
     Parameters
     ----------
     slow_start_share : float
-        From `MIN_SLOW_START_SHARE` for one that has just started to 1; an upstream
-        that warms up counts as having a lower limit.
+        Share of the limit that counts during slow start; grows from
+        `MIN_SLOW_START_SHARE` to 1.
 
     Examples
     --------
@@ -88,12 +88,12 @@
 
 
 def can_accept_flow(load: Load) -> bool:
-    """Whether an upstream with this load may be given another flow."""
+    """Whether an upstream with this load accepts another flow."""
     return load.open and load.flows < load.flow_limit
 
 
 def is_saturated(load: Load) -> bool:
-    """Whether an upstream has more work waiting than it has slots.
+    """Whether running and queued requests reach `SATURATION_RATIO` times the slots.
 
     Examples
     --------
@@ -110,7 +110,7 @@
     *,
     slow_start_share: float = 1.0,
 ) -> bool:
-    """Whether the first agent passes a new flow on.
+    """Whether the first agent should pass a new flow on to the alternate.
 
     Examples
     --------
--- a/shedsill/http3/_routing.py
+++ b/shedsill/http3/_routing.py
@@ -1,7 +1,7 @@
-"""A balancer's decisions on datagrams: no state per flow.
+"""Routing of callers' datagrams by a balancer, without state per flow.
 
-A connection ID that an agent minted leads to that agent.  An Initial with
-another ID is a new flow.  Anything else is dropped and counted.
+A connection ID issued by an agent routes to that agent.  An Initial packet with
+any other ID starts a new flow.  All other datagrams are dropped and counted.
 """
 
 from __future__ import annotations
@@ -31,16 +31,16 @@
 
 @frozen(kw_only=True)
 class AgentStatus:
-    """What a balancer knows of one agent.
+    """Last known load and liveness of one agent.
 
     Attributes
     ----------
     load : Load
-        As last reported.
+        Last load that the agent reported.
     last_heard_at : float
-        Local time of the last frame from it.
+        Local time of the last frame from the agent; 0 if there was none.
     unanswered_since : float or None
-        Local time of the first Initial or probe since then.
+        Local time of the first Initial or probe sent after that frame.
     """
 
     load: Load = field(factory=Load)
@@ -50,7 +50,7 @@
 
 @frozen
 class CallerKey:
-    """A caller's IP number, as far as one service is concerned."""
+    """Key of a rate limit: one caller's IP address at one service."""
 
     service: int
     host: str
@@ -58,10 +58,10 @@
 
 @frozen(kw_only=True)
 class FlowLimits:
-    """Limits on new flows of one service: per caller IP number, and in all.
+    """Rate limits on new flows, per caller IP address and per service.
 
-    Each service has buckets of its own, so that a flood on one leaves the new
-    flows of the others alone.
+    Services do not share buckets, so a flood on one service does not limit the
+    new flows of another.
     """
 
     per_caller: Rate = field(factory=lambda: Rate(per_second=50.0, burst=500.0))
@@ -70,7 +70,18 @@
 
 @frozen(kw_only=True)
 class Router:
-    """The routing part of a balancer's state."""
+    """Routing state of a balancer.
+
+    Attributes
+    ----------
+    agents : Map
+        Status of each agent, by upstream number.
+    caller_buckets, service_buckets : Map
+        Token buckets of the limits on new flows.
+    last_datagram_at : float
+        Local time of the last datagram from a caller during a planned stop; at
+        first the start of that stop.
+    """
 
     limits: FlowLimits = field(factory=FlowLimits)
     agents: immutables.Map[int, AgentStatus] = field(factory=immutables.Map)
@@ -80,7 +91,7 @@
 
 
 def is_silent(agent: AgentStatus, now: float) -> bool:
-    """Whether an agent has left a question open for too long."""
+    """Whether an Initial or probe to an agent has gone unanswered for too long."""
     return (
         agent.unanswered_since is not None
         and now - agent.unanswered_since > ANSWER_TIMEOUT_SECONDS
@@ -90,7 +101,7 @@
 def route_datagram(
     router: Router, configuration: Configuration, keys: KeyRing, event: CallerDatagram
 ) -> tuple[Router, list[Effect]]:
-    """Decide where a caller's datagram goes."""
+    """Forward a caller's datagram to an agent, or drop it."""
     packet = read_packet_header(event.datagram)
     if packet is None:
         return router, [_log_drop(LogEvent.DATAGRAM_MALFORMED, event)]
@@ -107,7 +118,10 @@
 def _find_route(
     configuration: Configuration, keys: KeyRing, cid: bytes, service: int
 ) -> tuple[AcceptedUpstream | None, bool]:
-    """Return the upstream that a connection ID names, or whether it is foreign."""
+    """Return the upstream of a connection ID, and whether it is misrouted.
+
+    An ID is misrouted if it belongs to an upstream of another service.
+    """
     misrouted = False
     for route in keys.decode_connection_id(cid):
         upstream = configuration.find_upstream(route.upstream)
@@ -151,9 +165,9 @@
     )
     if not ranked:
         return router, [_log_drop(LogEvent.NO_CANDIDATE, event)]
-    answering = [u for u in ranked if not _is_upstream_silent(router, u, event.now)]
-    first = answering[0] if answering else ranked[0]
-    alternate = _find_alternate(router, answering[1:], event.now)
+    responsive = [u for u in ranked if not _is_upstream_silent(router, u, event.now)]
+    first = responsive[0] if responsive else ranked[0]
+    alternate = _find_alternate(router, responsive[1:], event.now)
     effects: list[Effect] = []
     if first is not ranked[0]:
         fields = {"upstream": ranked[0].name, "instead": first.name}
@@ -175,7 +189,7 @@
 def _find_alternate(
     router: Router, others: list[AcceptedUpstream], now: float
 ) -> Candidate | None:
-    """Return the first other candidate that can take a flow."""
+    """Return the first other candidate that can accept a flow."""
     for upstream in others:
         agent = router.agents.get(upstream.number)
         if (
@@ -213,16 +227,16 @@
 def _drop_full_buckets(
     callers: immutables.Map[CallerKey, Bucket], rate: Rate, now: float
 ) -> immutables.Map[CallerKey, Bucket]:
-    """Forget callers whose bucket has filled up again, or else everyone."""
+    """Drop buckets that are full again; if too many are left, drop all."""
     refill = rate.burst / rate.per_second
-    kept = {who: b for who, b in callers.items() if now - b.updated_at < refill}
+    kept = {key: b for key, b in callers.items() if now - b.updated_at < refill}
     if len(kept) >= MAX_CALLER_BUCKETS:
         return immutables.Map()
     return immutables.Map(kept)
 
 
 def record_awaited_answer(router: Router, upstream: int, now: float) -> Router:
-    """Note that an agent was sent something that it has to answer."""
+    """Record that an Initial or probe was sent, which the agent has to answer."""
     agent = router.agents.get(upstream, AgentStatus())
     if agent.unanswered_since is not None:
         return router
@@ -231,7 +245,11 @@
 
 
 def record_agent_load(router: Router, upstream: int, load: Load, now: float) -> Router:
-    """Note a frame from an agent and the load that it reports."""
+    """Record a frame from an agent and the load that it reports.
+
+    An unchanged load soon after the last frame is not recorded, so that most
+    replies to callers are forwarded without a new state.
+    """
     agent = router.agents.get(upstream)
     if (
         agent is not None
@@ -245,7 +263,7 @@
 
 
 def relay_to_caller(frame: ToCaller) -> SendToCaller:
-    """Return the effect that takes an agent's datagram to its caller."""
+    """Return the effect that sends an agent's datagram to its caller."""
     return SendToCaller(
         service=frame.service, caller=frame.caller, datagram=frame.datagram
     )
@@ -254,26 +272,26 @@
 def list_agents_to_probe(
     router: Router, configuration: Configuration, now: float, *, idle: float, beat: int
 ) -> tuple[AcceptedUpstream, ...]:
-    """Return agents that should be probed: silent, or long not heard of.
+    """Return the agents to probe: silent ones, and those idle for too long.
 
-    Each beat looks at one window of the upstreams, so that a beat takes as long
-    for many upstreams as for few.
+    Each heartbeat checks a fixed number of upstreams, so that its cost does not
+    grow with their total number.
     """
     upstreams = configuration.upstreams
     start = beat * UPSTREAMS_CHECKED_PER_HEARTBEAT % max(len(upstreams), 1)
     window = upstreams[start : start + UPSTREAMS_CHECKED_PER_HEARTBEAT]
     if len(upstreams) <= UPSTREAMS_CHECKED_PER_HEARTBEAT:
         window = upstreams
-    quiet = []
+    probed = []
     for upstream in window:
         agent = router.agents.get(upstream.number)
         if agent is None or is_silent(agent, now) or now - agent.last_heard_at > idle:
-            quiet.append(upstream)
-    return tuple(quiet)
+            probed.append(upstream)
+    return tuple(probed)
 
 
 def prune_agents(router: Router, configuration: Configuration) -> Router:
-    """Forget agents that the configuration no longer names."""
+    """Drop the status of agents that are no longer configured."""
     agents = router.agents
     for number in router.agents:
         if configuration.find_upstream(number) is None:
--- a/shedsill/tests/test_placement.py
+++ b/shedsill/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Who takes a new flow."""
+"""Tests for the placement of new flows."""
 
 from __future__ import annotations
 
@@ -37,18 +37,18 @@
         (HashOnly(), make_load(50, is_open=False), make_load(60), 0.0, True),
     ],
 )
-def test_flow_is_passed_on(
+def test_flow_is_passed_on_only_if_the_alternate_is_preferred(
     policy: Policy, own: Load, other: Load, age: float, passed: bool
 ) -> None:
     alternate = Candidate(upstream=2, load=other, age=age)
     assert is_alternate_preferred(policy, own, alternate) == passed
 
 
-def test_without_an_alternate_the_flow_stays() -> None:
+def test_flow_without_an_alternate_is_kept() -> None:
     assert not is_alternate_preferred(TwoCandidates(), make_load(LIMIT), None)
 
 
-def test_slow_start_makes_a_fresh_upstream_look_fuller() -> None:
+def test_slow_start_raises_the_utilization_of_a_new_upstream() -> None:
     alternate = Candidate(upstream=2, load=make_load(20), age=0.0)
     own = make_load(5)
     assert not is_alternate_preferred(TwoCandidates(), own, alternate)
--- a/shedsill/tests/test_routing.py
+++ b/shedsill/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""A balancer's decisions on single datagrams."""
+"""Tests for the routing of single datagrams by a balancer."""
 
 from __future__ import annotations
 
@@ -92,7 +92,7 @@
     return next(e.event for e in effects if isinstance(e, WriteLog))
 
 
-def test_minted_id_leads_to_its_agent_and_changes_no_state() -> None:
+def test_issued_id_routes_to_its_agent_and_leaves_the_state_unchanged() -> None:
     router = Router()
     after, effects = route(make_short(2, DISPATCHER), router=router)
     assert get_target(effects) == 2
@@ -112,7 +112,7 @@
     assert get_target(effects) is None
 
 
-def test_garbage_short_and_unknown_are_dropped() -> None:
+def test_malformed_short_and_unroutable_datagrams_are_dropped() -> None:
     for datagram in (b"", b"\x00", os.urandom(3), bytes([0x40]) + bytes(30)):
         _router, effects = route(datagram)
         assert get_target(effects) is None
@@ -121,14 +121,14 @@
     assert get_target(effects) is None
 
 
-def test_every_balancer_sends_one_handshake_to_one_agent() -> None:
+def test_all_packets_of_a_handshake_go_to_one_agent() -> None:
     for _ in range(50):
         cid = os.urandom(8)
         targets = {get_target(route(make_initial(cid))[1]) for _ in range(3)}
         assert len(targets) == 1
 
 
-def test_draining_upstream_gets_no_new_flow_but_keeps_its_old_ones() -> None:
+def test_draining_upstream_gets_no_new_flows_but_keeps_existing_ones() -> None:
     change = Change(name="d", action=Action.DRAIN, target="d1")
     inputs = evolve(INPUTS, changes=(change,))
     draining = accept_resources(CONFIGURATION, inputs).configuration
@@ -139,7 +139,7 @@
     assert get_target(effects) == 1
 
 
-def test_ids_of_six_earlier_epochs_and_of_the_second_secret_are_read() -> None:
+def test_ids_of_six_earlier_epochs_and_of_the_second_secret_are_decoded() -> None:
     for epoch in range(1, 8):
         _router, effects = route(make_short(2, DISPATCHER, epoch=epoch))
         assert get_target(effects) == 2
@@ -149,7 +149,7 @@
     assert get_target(route(old, keys=both)[1]) == 1
 
 
-def test_silent_agent_is_passed_over_until_it_answers() -> None:
+def test_silent_agent_gets_no_new_flows_until_it_answers() -> None:
     datagrams = [make_initial(os.urandom(8)) for _ in range(20)]
     router = record_awaited_answer(Router(), 1, 1.0)
     targets = {get_target(route(d, router=router, now=1.2)[1]) for d in datagrams}
@@ -161,7 +161,7 @@
     assert targets == {1, 2}
 
 
-def test_one_caller_cannot_use_up_the_others_flows() -> None:
+def test_rate_limit_of_one_caller_does_not_affect_others() -> None:
     limits = FlowLimits(
         per_caller=Rate(per_second=1.0, burst=5.0),
         per_service=Rate(per_second=1.0, burst=50.0),
@@ -178,7 +178,7 @@
     assert get_target(effects) is not None
 
 
-def test_flood_on_one_service_leaves_the_others_new_flows_alone() -> None:
+def test_flood_on_one_service_does_not_limit_new_flows_of_another() -> None:
     limits = FlowLimits(
         per_caller=Rate(per_second=1.0, burst=9.0),
         per_service=Rate(per_second=1.0, burst=10.0),
@@ -197,7 +197,7 @@
     assert get_target(effects) is not None
 
 
-def test_limits_leave_open_flows_alone() -> None:
+def test_rate_limits_do_not_apply_to_open_flows() -> None:
     limits = FlowLimits(
         per_caller=Rate(per_second=1.0, burst=1.0),
         per_service=Rate(per_second=1.0, burst=1.0),
