--- a/shedsill/http3/_acceptor.py
+++ b/shedsill/http3/_acceptor.py
@@ -1,8 +1,8 @@
-"""How the lease holder turns stored resources into the accepted configuration.
+"""Acceptance of stored resources by the lease holder.
 
-Correctness rests on conditional updates alone: the accepted configuration is
-one object, and a write that finds another version than the one it was worked
-out from has no effect.  The lease only saves calls.
+The accepted configuration is one object, written by conditional updates: a write
+fails if the stored version is not the one that it was derived from.  The lease is
+not needed for correctness; it only avoids redundant calls.
 """
 
 from __future__ import annotations
@@ -72,7 +72,7 @@
 
 @frozen(kw_only=True)
 class Acceptor:
-    """The acceptance part of a balancer's state.
+    """Acceptance state of a balancer.
 
     Attributes
     ----------
@@ -81,13 +81,17 @@
     revision : int
         Highest revision of the platform seen.
     listing_processed : bool
-        Whether the last listing has been dealt with, so that a watch is due.
-    platform_failing : bool
-        Whether the last answer of the platform was none.
+        Whether the last listing was processed, so that a watch can follow it.
+    next_list_at, next_machines_at, next_cluster_status_at : float
+        Local times of the next list, list of VMs and write of the cluster status.
     pending_configuration : Configuration or None
-        What was written and is not yet known to be stored.
-    listed_machines : frozenset of str
-        VMs on the platform's last list.
+        Configuration whose write has not been confirmed.
+    listed_machines, leaving_machines : frozenset of str
+        VMs on the platform's last list, and those that it reports as leaving.
+    platform_failing : bool
+        Whether the last call to the platform was not answered.
+    cluster_status_version, cluster_status_value : int, Map
+        Cluster status as last stored, and as last written.
     """
 
     lease: Lease
@@ -106,7 +110,7 @@
 
 
 def is_lease_candidate(node: Node, now: float) -> bool:
-    """Whether this balancer is among the few that try for the lease."""
+    """Whether this balancer is among the few that compete for the lease."""
     others = [
         member.report.name
         for member in list_live_members(node.membership, now)
@@ -119,7 +123,7 @@
 def plan_calls(
     acceptor: Acceptor, node: Node, now: float
 ) -> tuple[Acceptor, list[Effect]]:
-    """Return the platform calls that the lease holder has to make now."""
+    """Return the platform calls that are due, if this balancer holds the lease."""
     effects: list[Effect] = []
     if not is_held(acceptor.lease, now):
         return acceptor, effects
@@ -150,22 +154,22 @@
 
 
 def record_call_started(acceptor: Acceptor, purpose: Purpose) -> Acceptor:
-    """Note that a call was sent."""
+    """Record that a call was sent."""
     return evolve(acceptor, pending_calls=acceptor.pending_calls | {purpose})
 
 
 def record_call_ended(acceptor: Acceptor, purpose: Purpose) -> Acceptor:
-    """Note that a call was answered."""
+    """Record that a call was answered."""
     return evolve(acceptor, pending_calls=acceptor.pending_calls - {purpose})
 
 
 def schedule_list(acceptor: Acceptor, now: float, *, delay: float) -> Acceptor:
-    """Have the resources listed once more after a pause."""
+    """Schedule a new list of the resources after a delay."""
     return evolve(acceptor, listing_processed=False, next_list_at=now + delay)
 
 
 def record_machines(acceptor: Acceptor, machines: Machines, now: float) -> Acceptor:
-    """Take in the platform's list of VMs."""
+    """Record the platform's list of VMs; list resources if the leaving VMs changed."""
     before = acceptor.leaving_machines
     leaving = frozenset(m.name for m in machines.machines if m.leaving)
     present = frozenset(m.name for m in machines.machines)
@@ -183,7 +187,7 @@
 def handle_listing(
     acceptor: Acceptor, node: Node, listing: Listing, now: float
 ) -> tuple[Acceptor, list[Effect]]:
-    """Work out the next configuration, or else write the statuses that differ."""
+    """Write the next configuration; if it is unchanged, write changed statuses."""
     if listing.revision < acceptor.revision:
         return schedule_list(acceptor, now, delay=RETRY_DELAY_SECONDS), []
     acceptor = evolve(acceptor, revision=listing.revision)
@@ -198,25 +202,25 @@
         return evolve(acceptor, listing_processed=True), [note]
     inputs = _make_inputs(acceptor, node, listing, base, now)
     acceptance = accept_resources(base, inputs)
-    wanted = acceptance.configuration
-    if stored is None or wanted != _decode_stored(stored):
+    configuration = acceptance.configuration
+    if stored is None or configuration != _decode_stored(stored):
         version = stored.version if stored else 0
-        return _write_configuration(acceptor, wanted, base, version)
+        return _write_configuration(acceptor, configuration, base, version)
     acceptor, effects = _write_statuses(acceptor, acceptance, inputs, index)
     return evolve(acceptor, listing_processed=True), effects
 
 
 def _has_lost_resources(base: Configuration, listing: Listing) -> bool:
-    """Whether the platform holds no service at all although some are in force.
+    """Whether the platform lists no service although some are in force.
 
-    A platform that came back empty must not drain every upstream.
+    Prevents a platform that lost its data from draining every upstream.
     """
     names = {item.kind for item in listing.objects}
     return bool(base.services) and "service" not in names
 
 
 def find_accepted_configuration(listing: Listing) -> Configuration | None:
-    """Return the accepted configuration that a listing holds, if it has one."""
+    """Return the accepted configuration from a listing, if there is one."""
     for item in listing.objects:
         if (item.kind, item.name) == (CONFIGURATION_KIND, CONFIGURATION_NAME):
             return _decode_stored(item)
@@ -233,18 +237,19 @@
 
 
 def _write_configuration(
-    acceptor: Acceptor, wanted: Configuration, base: Configuration, version: int
+    acceptor: Acceptor, configuration: Configuration, base: Configuration, version: int
 ) -> tuple[Acceptor, list[Effect]]:
-    if wanted.generation == 0:
+    if configuration.generation == 0:
         return evolve(acceptor, listing_processed=True), []
     call = Put(
         kind=CONFIGURATION_KIND,
         name=CONFIGURATION_NAME,
-        value=encode_configuration(wanted),
+        value=encode_configuration(configuration),
         expected=version,
     )
     acceptor = evolve(
-        record_call_started(acceptor, Purpose.ACCEPT), pending_configuration=wanted
+        record_call_started(acceptor, Purpose.ACCEPT),
+        pending_configuration=configuration,
     )
     return acceptor, [CallPlatform(purpose=Purpose.ACCEPT, call=call)]
 
@@ -290,13 +295,13 @@
 
 
 def _find_leaving(listing: Listing) -> frozenset[str]:
-    """Return upstreams that leave by their agent's own word."""
-    words = {NodeStatus.DRAINING.value, NodeStatus.DRAINED.value}
+    """Return upstreams whose agents report that they are leaving."""
+    statuses = {NodeStatus.DRAINING.value, NodeStatus.DRAINED.value}
     return frozenset(
         item.name
         for item in listing.objects
         if item.kind == NODE_KIND
-        and item.value.get("status") in words
+        and item.value.get("status") in statuses
         and item.value.get("stopping")
     )
 
@@ -308,10 +313,10 @@
     base: Configuration,
     now: float,
 ) -> frozenset[int]:
-    """Return upstreams taken out of their set on which no flow can be left.
+    """Return draining upstreams that cannot have any flow left.
 
-    Either the agent says so, or its VM is neither on the platform's list nor
-    heard of by any node for a minute.
+    Either the agent reports it, or its VM is lost: not on the platform's list and
+    not heard of by any node for `FORGET_AFTER` seconds.
     """
     reported = {
         item.value.get("upstream")
@@ -326,8 +331,8 @@
         listed = (
             not acceptor.listed_machines or upstream.name in acceptor.listed_machines
         )
-        dead = not listed and is_lost(node, upstream.name, now)
-        if upstream.number in reported or dead:
+        lost = not listed and is_lost(node, upstream.name, now)
+        if upstream.number in reported or lost:
             drained.add(upstream.number)
     return frozenset(drained)
 
@@ -349,7 +354,7 @@
             "reason": verdict.reason,
             "observed_version": item.version if item else 0,
         }
-        if stored is not None and _is_same(stored.value, value):
+        if stored is not None and _has_same_fields(stored.value, value):
             continue
         value["generation"] = acceptance.configuration.generation
         call = Put(
@@ -370,7 +375,7 @@
     return acceptor, effects[:MAX_STATUS_WRITES]
 
 
-def _is_same(stored: dict[str, Any], value: dict[str, Any]) -> bool:
+def _has_same_fields(stored: dict[str, Any], value: dict[str, Any]) -> bool:
     return all(stored.get(key) == item for key, item in value.items())
 
 
@@ -403,7 +408,7 @@
 def _plan_cluster_status(
     acceptor: Acceptor, node: Node, now: float
 ) -> tuple[Acceptor, list[Effect]]:
-    """Write how many nodes have the generation in force, when that changes."""
+    """Write how many nodes have applied the generation in force, if that changed."""
     generation = node.configuration.generation
     if generation == 0 or not acceptor.listing_processed:
         return acceptor, []
--- a/shedsill/http3/_balancer.py
+++ b/shedsill/http3/_balancer.py
@@ -1,4 +1,4 @@
-"""The balancer's share of the reducer."""
+"""Event handlers of a balancer."""
 
 from __future__ import annotations
 
@@ -69,12 +69,12 @@
 
 @frozen(kw_only=True)
 class BalancerSettings:
-    """Settings of a balancer's decisions.
+    """Settings of a balancer's event handlers.
 
     Attributes
     ----------
     stop_idle_timeout : float
-        Seconds without a caller's datagram after which a planned stop ends.
+        Seconds without a datagram from a caller after which a planned stop ends.
     """
 
     stop_idle_timeout: float = 5.0
@@ -82,7 +82,13 @@
 
 @frozen(kw_only=True)
 class BalancerState:
-    """Everything a balancer knows; nothing in it belongs to one flow."""
+    """State of a balancer; it contains no state per flow.
+
+    Attributes
+    ----------
+    stop_requested_at : float
+        Local time at which a planned stop began.
+    """
 
     node: Node
     keys: KeyRing
@@ -109,7 +115,7 @@
 
 
 def handle_frame(state: BalancerState, event: FrameReceived) -> Step:
-    """Take in a frame from an agent or another balancer."""
+    """Handle a frame from an agent or another balancer."""
     frame = event.frame
     node, effects = handle_gossip(state.node, frame, event.source, event.now)
     router = state.router
@@ -131,7 +137,7 @@
 
 
 def handle_tick(state: BalancerState, event: Tick) -> Step:
-    """Do what time brings: heartbeats, probes, the lease and the acceptance."""
+    """Send due heartbeats and probes, renew the lease and plan platform calls."""
     state, effects = _send_due_heartbeats(state, event)
     state, more = _renew_lease(state, event.now)
     effects += more
@@ -145,7 +151,7 @@
 def _send_due_heartbeats(state: BalancerState, event: Tick) -> Step:
     if event.now < state.node.next_heartbeat_at:
         return state, []
-    quiet = list_agents_to_probe(
+    probed = list_agents_to_probe(
         state.router,
         state.node.configuration,
         event.now,
@@ -153,9 +159,9 @@
         beat=state.node.beat,
     )
     router = state.router
-    for upstream in quiet:
+    for upstream in probed:
         router = record_awaited_answer(router, upstream.number, event.now)
-    addresses = [upstream.socket_address for upstream in quiet]
+    addresses = [upstream.socket_address for upstream in probed]
     node, effects = send_heartbeats(
         state.node, HeartbeatPayload(), addresses, now=event.now, seed=event.seed
     )
@@ -190,7 +196,7 @@
 
 
 def handle_stop(state: BalancerState, event: StopRequested) -> Step:
-    """Begin a planned stop: not ready, but still forwarding."""
+    """Begin a planned stop: report not ready, but keep forwarding datagrams."""
     if state.node.stopping:
         return state, []
     state = evolve(
@@ -212,14 +218,14 @@
         state.status, state.node.name, NodeStatus.STOPPED, details, now
     )
     state = evolve(state, status=writer)
-    patience = state.settings.stop_idle_timeout * 2
-    if writer.written == NodeStatus.STOPPED or now > state.stop_requested_at + patience:
+    timeout = state.settings.stop_idle_timeout * 2
+    if writer.written == NodeStatus.STOPPED or now > state.stop_requested_at + timeout:
         effects = [*effects, Exit()]
     return state, effects
 
 
 def handle_platform_answer(state: BalancerState, event: PlatformAnswered) -> Step:
-    """Go on with whatever the platform was called for."""
+    """Handle the outcome of a platform call by its purpose."""
     if event.purpose == Purpose.NODE:
         return evolve(state, status=record_status_outcome(state.status, event)), []
     failing = isinstance(event.outcome, Unavailable)
@@ -287,7 +293,7 @@
 def _handle_configuration_write(
     state: BalancerState, acceptor: Acceptor, event: PlatformAnswered
 ) -> Step:
-    """Apply what was certainly stored; look again in every other case."""
+    """Apply the configuration if it was stored; otherwise list the resources again."""
     pending = acceptor.pending_configuration
     stored = isinstance(event.outcome, Stored)
     pause = 0.0 if stored else RETRY_DELAY_SECONDS
--- a/shedsill/http3/_configuration.py
+++ b/shedsill/http3/_configuration.py
@@ -1,4 +1,4 @@
-"""The accepted configuration, and the JSON form in which it travels."""
+"""The accepted configuration and its JSON encoding."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class UpstreamState(enum.Enum):
-    """What the accepted configuration wants of an upstream."""
+    """State of an upstream in the accepted configuration."""
 
     ACTIVE = "active"
     DRAINING = "draining"
@@ -27,7 +27,7 @@
 
 @frozen(kw_only=True)
 class AcceptedService:
-    """A service with the number that connection IDs carry."""
+    """A service and its number in connection IDs."""
 
     number: int
     service: Service
@@ -40,15 +40,15 @@
 
 @frozen(kw_only=True)
 class AcceptedUpstream:
-    """An upstream with the number that connection IDs carry.
+    """An upstream and its number in connection IDs.
 
     Attributes
     ----------
     successor : int
-        Number of the upstream whose agent takes over this one's record of
-        outcomes when it leaves; 0 where there is none.
+        Number of the upstream whose agent takes over the records of outcomes when
+        this one leaves; 0 if there is none.
     removed : bool
-        Whether its set no longer names it; it is deleted when drained.
+        Whether the upstream was removed from its set; it is deleted once drained.
     """
 
     number: int
@@ -68,7 +68,7 @@
 
 @frozen(kw_only=True)
 class Departed:
-    """An upstream that has left, and the one that took over its record."""
+    """An upstream that has left, and the one that took over its records."""
 
     number: int
     successor: int
@@ -76,22 +76,22 @@
 
 @frozen(kw_only=True)
 class Configuration:
-    """What is in force on every node.
+    """The configuration in force on every node.
 
     Attributes
     ----------
     generation : int
-        Grows by one with each accepted change; never reverts.
+        Increases by one with each accepted change; never decreases.
     key_epoch : int
-        Number of the key under which connection IDs are minted.
-    next_upstream : int
-        Lowest upstream number never used.
+        Number of the key that encrypts new connection IDs.
+    next_service, next_upstream : int
+        Lowest numbers that have never been used.
     stopping_balancers : tuple of str
-        Balancers that leave.
+        Balancers that are leaving.
     rotations : tuple of str
-        Names of the key rotations that have been counted.
+        Names of the key rotations that `key_epoch` includes.
     departed : tuple of Departed
-        The latest upstreams that have left.
+        The last upstreams that have left.
     """
 
     generation: int = 0
@@ -140,7 +140,7 @@
         return self._service_index.get(number)
 
     def find_successor(self, number: int) -> int:
-        """Return the upstream that took over from one; 0 if none is known."""
+        """Return the upstream that took over from another; 0 if none is known."""
         upstream = self.find_upstream(number)
         if upstream is not None:
             return upstream.successor
@@ -173,35 +173,35 @@
 
 
 def encode_configuration(configuration: Configuration) -> dict[str, Any]:
-    """Return the JSON form in which the platform and peers carry it."""
+    """Return the JSON value that the platform stores and peers exchange."""
     return _CONVERTER.unstructure(configuration)
 
 
 def encode_configuration_text(configuration: Configuration) -> bytes:
-    """Return the JSON text in which peers hand on the configuration."""
+    """Return the JSON text in which peers send the configuration."""
     return json.dumps(encode_configuration(configuration)).encode()
 
 
 def decode_configuration(value: dict[str, Any]) -> Configuration:
-    """Read the JSON form.
+    """Decode the JSON value of a configuration.
 
     Raises
     ------
     DecodeError
-        If it is not an accepted configuration.
+        If the value is not an accepted configuration.
     """
     try:
         return _CONVERTER.structure(value, Configuration)
     except Exception as error:
-        raise DecodeError(f"not an accepted configuration: {error}") from error
+        raise DecodeError(f"not a valid accepted configuration: {error}") from error
 
 
 def decode_configuration_text(text: bytes) -> Configuration:
-    """Read the JSON text; raises `DecodeError` where it is not valid."""
+    """Decode the JSON text of a configuration; raises `DecodeError` if invalid."""
     try:
         value = json.loads(text)
     except ValueError as error:
-        raise DecodeError(f"not JSON: {error}") from error
+        raise DecodeError(f"configuration is not valid JSON: {error}") from error
     return decode_configuration(value)
 
 
--- a/shedsill/http3/_configuration_rules.py
+++ b/shedsill/http3/_configuration_rules.py
@@ -1,10 +1,10 @@
-"""How stored resources become the next accepted configuration.
+"""Derivation of the next accepted configuration from stored resources.
 
-`accept_resources` is a pure function of the configuration in force and the
-resources now stored.  It never reuses an upstream number or a service number, keeps an
-upstream that was taken out of its set until the agent beside it reports that
-its last flow has ended, and leaves the last accepted form of a resource in
-force when the new form is refused.
+`accept_resources` is a pure function of the configuration in force and the stored
+resources.  It never reuses an upstream number or a service number, keeps an
+upstream that was removed from its set until its agent reports that the last flow
+has ended, and keeps the last accepted form of a resource if the new form is
+rejected.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class VerdictKind(enum.Enum):
-    """What became of a resource."""
+    """Result of the acceptance of a resource."""
 
     ACCEPTED = "accepted"
     REJECTED = "rejected"
@@ -35,7 +35,7 @@
 
 @frozen(kw_only=True)
 class Verdict:
-    """The status of one resource after an acceptance."""
+    """Status of one resource after an acceptance."""
 
     resource: str
     kind: VerdictKind
@@ -44,7 +44,7 @@
 
 @frozen(kw_only=True)
 class Acceptance:
-    """The next configuration and a verdict per resource."""
+    """Next configuration and the verdict on each resource."""
 
     configuration: Configuration
     verdicts: tuple[Verdict, ...]
@@ -52,12 +52,12 @@
 
 @frozen(kw_only=True)
 class InvalidResource:
-    """A stored resource that cannot be read.
+    """A stored resource that is not valid.
 
     Attributes
     ----------
     service : str
-        The service that a set of upstreams seems to name; may be empty.
+        Service that an invalid set of upstreams names; may be empty.
     """
 
     kind: str
@@ -68,16 +68,16 @@
 
 @frozen(kw_only=True)
 class AcceptanceInputs:
-    """All that `accept_resources` looks at beside the configuration in force.
+    """Input of `accept_resources` besides the configuration in force.
 
     Attributes
     ----------
     drained : frozenset of int
-        Numbers of upstreams whose agents report that no flow is left.
+        Numbers of upstreams that have no flow left.
     leaving : frozenset of str
-        Upstreams that leave by their own word or the platform's list of VMs.
+        Upstreams that their agent or the platform's list of VMs reports as leaving.
     invalid : tuple of InvalidResource
-        Stored resources that cannot be read; their last form stays in force.
+        Stored resources that are not valid; their last valid form stays in force.
     """
 
     services: tuple[Service, ...] = ()
@@ -89,13 +89,13 @@
 
 
 def accept_resources(previous: Configuration, inputs: AcceptanceInputs) -> Acceptance:
-    """Work out the next configuration.
+    """Derive the next configuration.
 
     Returns
     -------
     Acceptance
-        Its configuration has the next generation, or is `previous` itself
-        where nothing differs.
+        Its configuration has the next generation, or equals `previous` if nothing
+        has changed.
 
     Examples
     --------
@@ -122,26 +122,26 @@
     previous: Configuration, inputs: AcceptanceInputs, verdicts: list[Verdict]
 ) -> Configuration:
     numbers = {s.name: s for s in previous.services}
-    wanted_addresses: dict[str, str] = {}
-    following = previous.next_service
+    address_owners: dict[str, str] = {}
+    next_number = previous.next_service
     kept: list[AcceptedService] = []
     for service in sorted(
         inputs.services, key=lambda s: (s.name not in numbers, s.name)
     ):
         known = numbers.get(service.name)
-        owner = wanted_addresses.setdefault(service.address, service.name)
+        owner = address_owners.setdefault(service.address, service.name)
         reason = ""
         if owner != service.name:
             reason = f"address {service.address} belongs to service {owner}"
-        elif known is None and following > MAX_SERVICE_NUMBER:
+        elif known is None and next_number > MAX_SERVICE_NUMBER:
             reason = "no service number is left"
         if reason:
             verdicts.append(_reject("service", service.name, reason))
             if known is not None:
                 kept.append(known)
             continue
-        number = known.number if known else following
-        following += known is None
+        number = known.number if known else next_number
+        next_number += known is None
         kept.append(AcceptedService(number=number, service=service))
         verdicts.append(_approve("service", service.name))
     names = {accepted.name for accepted in kept}
@@ -152,7 +152,7 @@
         if accepted.name not in names and needed:
             kept.append(accepted)
     kept.sort(key=lambda accepted: accepted.number)
-    return evolve(previous, services=tuple(kept), next_service=following)
+    return evolve(previous, services=tuple(kept), next_service=next_number)
 
 
 def _accept_sets(
@@ -164,33 +164,33 @@
     current = {(u.service, u.name, u.address): u for u in draft.upstreams}
     owners: dict[str, str] = {}
     kept: dict[int, AcceptedUpstream] = {}
-    following = draft.next_upstream
-    refused = _find_refused(inputs, services)
+    next_number = draft.next_upstream
+    rejected = _find_services_with_invalid_sets(inputs, services)
     for group in sorted(inputs.upstream_sets, key=lambda group: group.name):
-        reason = _find_set_fault(group, services, present, owners)
+        reason = _find_set_error(group, services, present, owners)
         if reason:
             verdicts.append(_reject("upstreamset", group.name, reason))
-            refused.add(services.get(group.service, 0))
+            rejected.add(services.get(group.service, 0))
             continue
         service = services[group.service]
         for member in group.upstreams:
             owners[member.address] = f"{group.name}/{member.name}"
             known = current.get((service, member.name, member.address))
-            number = known.number if known else following
-            following += known is None
+            number = known.number if known else next_number
+            next_number += known is None
             kept[number] = _make_upstream(number, service, member, known)
         verdicts.append(_approve("upstreamset", group.name))
     for upstream in draft.upstreams:
         if upstream.number in kept or upstream.number in inputs.drained:
             continue
-        if upstream.service in refused and not upstream.removed:
+        if upstream.service in rejected and not upstream.removed:
             kept[upstream.number] = upstream
         else:
             kept[upstream.number] = evolve(
                 upstream, state=UpstreamState.DRAINING, removed=True
             )
     ordered = tuple(kept[number] for number in sorted(kept))
-    gone = tuple(
+    departed = tuple(
         Departed(number=u.number, successor=u.successor)
         for u in draft.upstreams
         if u.number not in kept
@@ -198,20 +198,22 @@
     return evolve(
         draft,
         upstreams=ordered,
-        next_upstream=following,
-        departed=(*draft.departed, *gone)[-MAX_DEPARTED:],
+        next_upstream=next_number,
+        departed=(*draft.departed, *departed)[-MAX_DEPARTED:],
     )
 
 
-def _find_refused(inputs: AcceptanceInputs, services: dict[str, int]) -> set[int]:
-    """Return the services whose upstreams stay because a set cannot be read."""
-    refused: set[int] = set()
+def _find_services_with_invalid_sets(
+    inputs: AcceptanceInputs, services: dict[str, int]
+) -> set[int]:
+    """Return services whose upstreams are kept because a set is invalid."""
+    rejected: set[int] = set()
     for entry in inputs.invalid:
         if entry.kind != "upstreamset":
             continue
         number = services.get(entry.service)
-        refused |= {number} if number else set(services.values())
-    return refused
+        rejected |= {number} if number else set(services.values())
+    return rejected
 
 
 def _make_upstream(
@@ -229,7 +231,7 @@
     )
 
 
-def _find_set_fault(
+def _find_set_error(
     group: UpstreamSet,
     services: dict[str, int],
     present: set[str],
@@ -295,7 +297,7 @@
 def _choose_successor(
     draft: Configuration, upstream: AcceptedUpstream
 ) -> AcceptedUpstream:
-    """Keep a successor that stays; choose the next active one otherwise."""
+    """Keep a successor that is active; otherwise choose the next active one."""
     active = [
         u.number
         for u in draft.list_upstreams(upstream.service)
--- a/shedsill/http3/_node.py
+++ b/shedsill/http3/_node.py
@@ -1,4 +1,4 @@
-"""What every node keeps: its configuration, its peers and its heartbeat."""
+"""Configuration, membership and heartbeats, which all nodes have in common."""
 
 from __future__ import annotations
 
@@ -51,20 +51,22 @@
 
 @frozen(kw_only=True)
 class Node:
-    """The part of a node's state that does not depend on its role.
+    """State that does not depend on the role of a node.
 
     Attributes
     ----------
     seed_addresses : tuple of Address
-        Peers from the settings, for the time before others are known.
+        Peers from the settings, to which heartbeats go before others are known.
+    beat : int
+        Number of heartbeats sent.
     next_heartbeat_at : float
         Local time of the next heartbeat.
     next_configuration_read_at : float
-        Local time of the next read of the accepted configuration, while there
-        is none.
+        Local time of the next read of the accepted configuration from the
+        platform, as long as none is in force.
     peers_live_since : float or None
-        Since when, at each beat, some other node had been heard of lately; None
-        where none was at the last one.
+        Local time since which at least one other node was live at each heartbeat;
+        None if none was at the last one.
     stopping : bool
         Whether a planned stop has begun.
     """
@@ -86,7 +88,7 @@
 
 @frozen(kw_only=True)
 class HeartbeatPayload:
-    """What a heartbeat says of its sender beside the membership."""
+    """What a heartbeat reports on its sender besides the membership."""
 
     service: int = 0
     upstream: int = 0
@@ -94,7 +96,7 @@
 
 
 def make_report(node: Node) -> NodeReport:
-    """Return the report that a node gives of itself."""
+    """Return a node's report on itself."""
     return NodeReport(
         name=node.name,
         address=node.address,
@@ -109,18 +111,18 @@
 def make_heartbeat(
     node: Node, payload: HeartbeatPayload, *, now: float, seed: int
 ) -> Heartbeat:
-    """Return a heartbeat that passes on what this node knows of others."""
+    """Return a heartbeat with this node's report and reports on other nodes."""
     reports = choose_reports(node.membership, make_report(node), now, seed)
     return _fill_heartbeat(node, payload, reports, probe=True)
 
 
 def make_probe(node: Node, payload: HeartbeatPayload) -> Heartbeat:
-    """Return a short heartbeat that asks a peer whether it is alive."""
+    """Return a heartbeat with only this node's report, which requests an answer."""
     return _fill_heartbeat(node, payload, (make_report(node),), probe=True)
 
 
 def make_probe_answer(node: Node, payload: HeartbeatPayload) -> Heartbeat:
-    """Return the short heartbeat that answers one of a peer."""
+    """Return the heartbeat that answers a peer's heartbeat or probe."""
     return _fill_heartbeat(node, payload, (make_report(node),), probe=False)
 
 
@@ -149,16 +151,16 @@
     now: float,
     seed: int,
 ) -> tuple[Node, list[Effect]]:
-    """Send the heartbeats of one beat, if it is due.
+    """Send heartbeats and probes, if they are due.
 
     Parameters
     ----------
     probed : iterable of Address
-        Peers that have to be asked whether they are alive.
+        Peers to probe in addition to those chosen for a heartbeat.
     """
     if now < node.next_heartbeat_at:
         return node, []
-    silent = _log_silent_members(node, now)
+    logs = _log_silent_members(node, now)
     node = evolve(
         node,
         beat=node.beat + 1,
@@ -170,9 +172,9 @@
     frame = make_heartbeat(node, payload, now=now, seed=seed)
     effects: list[Effect] = [Send(destination=peer, frame=frame) for peer in peers]
     probe = make_probe(node, payload)
-    asked = sorted(set(probed) - set(peers))
-    effects += [Send(destination=peer, frame=probe) for peer in asked]
-    return node, silent + effects
+    probed_addresses = sorted(set(probed) - set(peers))
+    effects += [Send(destination=peer, frame=probe) for peer in probed_addresses]
+    return node, logs + effects
 
 
 def _find_peers_live_since(node: Node, now: float) -> float | None:
@@ -182,9 +184,10 @@
 
 
 def is_lost(node: Node, name: str, now: float) -> bool:
-    """Whether a member was not heard of by any node for a minute.
+    """Whether no node has heard of a member for `FORGET_AFTER` seconds.
 
-    A node that has just started, or has heard nobody itself, cannot tell.
+    False as long as this node itself has not had live peers for that time, as after
+    its start, because it may have missed the reports.
     """
     if name in node.membership.members or node.peers_live_since is None:
         return False
@@ -192,7 +195,7 @@
 
 
 def _log_silent_members(node: Node, now: float) -> list[Effect]:
-    """Note members whose silence became known since the last beat."""
+    """Return log effects for members that became silent since the last heartbeat."""
     return [
         WriteLog(event=LogEvent.MEMBER_SILENT, fields={"node": member.report.name})
         for member in node.membership.members.values()
@@ -203,7 +206,7 @@
 
 
 def list_peer_groups(node: Node, now: float) -> tuple[tuple[Address, ...], ...]:
-    """Return the groups of addresses to which a heartbeat may go."""
+    """Return the groups of addresses from which heartbeat peers are chosen."""
     live = tuple(
         member.report.address for member in list_live_members(node.membership, now)
     )
@@ -213,7 +216,7 @@
 def handle_gossip(
     node: Node, frame: Frame, source: Address, now: float
 ) -> tuple[Node, list[Effect]]:
-    """Take in what any frame says: a generation, and perhaps reports."""
+    """Handle the generation of a frame and the node reports of a heartbeat."""
     effects: list[Effect] = []
     spread, pull = handle_generation(node.spread, frame.generation, source, now)
     if spread is not node.spread:
@@ -248,7 +251,7 @@
 def apply_newer_configuration(
     node: Node, configuration: Configuration
 ) -> tuple[Node, list[Effect]]:
-    """Apply a configuration if its generation is higher; never go back."""
+    """Apply a configuration if its generation is higher than the current one."""
     if not is_newer(configuration, node.configuration):
         node = evolve(node, spread=record_pull_failure(node.spread))
         if configuration.generation == node.configuration.generation:
@@ -271,10 +274,10 @@
 
 
 def request_first_configuration(node: Node, now: float) -> tuple[Node, list[Effect]]:
-    """Ask the platform for the configuration while this node has none.
+    """Request the configuration from the platform as long as this node has none.
 
-    Later ones come from peers, so that the platform's load does not grow with
-    the number of nodes.
+    Later configurations come from peers, so that the platform's load does not grow
+    with the number of nodes.
     """
     if node.configuration.generation > 0 or now < node.next_configuration_read_at:
         return node, []
@@ -286,7 +289,7 @@
 
 
 def decode_configuration_answer(event: PlatformAnswered) -> Configuration | None:
-    """Return the configuration that the platform answered with, if it did."""
+    """Return the configuration in the platform's answer, if it is valid."""
     match event.outcome:
         case Found(object=StoredObject(value=value)):
             try:
--- a/shedsill/tests/test_acceptance.py
+++ b/shedsill/tests/test_acceptance.py
@@ -1,9 +1,7 @@
-"""When the acceptor takes an upstream for drained without its agent's word.
+"""Tests for the removal of a draining upstream whose agent is lost.
 
-Found by looking in this product for the cause that `test_datagram_deafness.py` tells
-of: an acceptor that had just started had heard of no node yet, and took that for a
-minute in which none had been heard.  An upstream that drained on a VM which the
-platform's list lagged behind on was taken out under its flows.
+An acceptor that has just started, or has had no live peers, must not conclude from
+the missing reports that an upstream has no flows left.
 """
 
 from __future__ import annotations
@@ -40,7 +38,7 @@
 
 
 def make_node(now: float, *heard: str) -> Node:
-    """Return a node that heard of others just now."""
+    """Return a node that has just heard of others."""
     members = {
         name: Member(
             report=NodeReport(
@@ -61,8 +59,8 @@
     )
 
 
-def is_taken_out(node: Node, now: float, *listed: str) -> bool:
-    """Whether the next configuration lacks the upstream that drains."""
+def is_upstream_removed(node: Node, now: float, *listed: str) -> bool:
+    """Whether the next configuration lacks the draining upstream."""
     acceptor = Acceptor(
         lease=Lease(kind="lease", name="x", node="b1", time_to_live=3.0),
         listed_machines=frozenset(listed),
@@ -71,43 +69,43 @@
     node = evolve(node, configuration=base)
     listing = Listing(objects=(), revision=9)
     acceptor, _effects = handle_listing(acceptor, node, listing, now)
-    wanted = acceptor.pending_configuration or base
-    return not wanted.upstreams
+    configuration = acceptor.pending_configuration or base
+    return not configuration.upstreams
 
 
-def beat(node: Node, now: float, *heard: str) -> Node:
-    """Let a beat pass at which a node has just heard of others."""
+def send_heartbeat(node: Node, now: float, *heard: str) -> Node:
+    """Send the heartbeats of a node, which then hears of others."""
     node, _effects = send_heartbeats(node, HeartbeatPayload(), now=now, seed=1)
     return evolve(node, membership=make_node(now, *heard).membership)
 
 
 @pytest.mark.parametrize("listening", [0.0, FORGET_AFTER_SECONDS / 2])
-def test_an_upstream_never_heard_of_by_a_new_acceptor_is_not_drained(
+def test_upstream_unknown_to_a_new_acceptor_is_not_removed(
     listening: float,
 ) -> None:
-    node = beat(make_node(100.0, "dispatcher-2"), 100.0, "dispatcher-2")
-    node = beat(node, 100.0 + listening, "dispatcher-2")
-    assert not is_taken_out(node, 100.0 + listening, "dispatcher-2")
+    node = send_heartbeat(make_node(100.0, "dispatcher-2"), 100.0, "dispatcher-2")
+    node = send_heartbeat(node, 100.0 + listening, "dispatcher-2")
+    assert not is_upstream_removed(node, 100.0 + listening, "dispatcher-2")
 
 
-def test_one_that_nobody_heard_of_for_a_minute_is_drained() -> None:
+def test_upstream_not_heard_of_for_a_minute_is_removed() -> None:
     node = make_node(100.0, "dispatcher-2")
     for second in range(int(FORGET_AFTER_SECONDS) + 2):
-        node = beat(node, 100.0 + second, "dispatcher-2")
-    assert is_taken_out(node, 101.0 + FORGET_AFTER_SECONDS, "dispatcher-2")
+        node = send_heartbeat(node, 100.0 + second, "dispatcher-2")
+    assert is_upstream_removed(node, 101.0 + FORGET_AFTER_SECONDS, "dispatcher-2")
 
 
-def test_a_minute_in_which_the_acceptor_heard_nobody_does_not_count() -> None:
+def test_minute_without_live_peers_does_not_remove_an_upstream() -> None:
     node = make_node(100.0, "dispatcher-2")
     for second in range(int(FORGET_AFTER_SECONDS) + 2):
-        node = beat(node, 100.0 + second)
-    node = beat(node, 102.0 + FORGET_AFTER_SECONDS, "dispatcher-2")
-    assert not is_taken_out(node, 102.0 + FORGET_AFTER_SECONDS, "dispatcher-2")
+        node = send_heartbeat(node, 100.0 + second)
+    node = send_heartbeat(node, 102.0 + FORGET_AFTER_SECONDS, "dispatcher-2")
+    assert not is_upstream_removed(node, 102.0 + FORGET_AFTER_SECONDS, "dispatcher-2")
 
 
-def test_one_that_the_platform_lists_is_never_taken_out() -> None:
+def test_upstream_listed_by_the_platform_is_not_removed() -> None:
     node = make_node(100.0, "dispatcher-2")
     for second in range(int(FORGET_AFTER_SECONDS) + 2):
-        node = beat(node, 100.0 + second, "dispatcher-2")
+        node = send_heartbeat(node, 100.0 + second, "dispatcher-2")
     now = 101.0 + FORGET_AFTER_SECONDS
-    assert not is_taken_out(node, now, "dispatcher-1", "dispatcher-2")
+    assert not is_upstream_removed(node, now, "dispatcher-1", "dispatcher-2")
