--- a/shedsill/http3/__init__.py
+++ b/shedsill/http3/__init__.py
@@ -1,18 +1,19 @@
-"""HTTP/3 traffic: requests from callers, carried to HTTP/1.1 upstreams.
+"""HTTP/3 traffic: requests from callers, forwarded to HTTP/1.1 upstreams.
 
-Balancers route packets by connection ID and keep no flow state; the agent beside
-each upstream ends QUIC and is the one authority on what its upstream is given.
+Balancers route packets by connection ID and keep no state per flow.  The agent
+beside each upstream terminates QUIC and alone decides which requests its upstream
+receives.
 
 The private modules belong to these groups:
 
 ========================  ====================================================
-what                      modules
+group                     modules
 ========================  ====================================================
 the reducer               ``_reducer``, ``_events``, ``_effects``,
                           ``_platform_purposes``
 every node                ``_node``, ``_status``, ``_frames``, ``_keys``
-configuration             ``_resources``, ``_configuration``, ``_configuration_rules``,
-                          ``_acceptor``
+configuration             ``_resources``, ``_configuration``,
+                          ``_configuration_rules``, ``_acceptor``
 a balancer                ``_balancer``, ``_routing``, ``_packets``,
                           ``_placement``, ``_flows``
 an agent                  ``_agent``, ``_agent_state``, ``_requests``,
@@ -21,8 +22,8 @@
 sockets and calls         ``_runtime``
 ========================  ====================================================
 
-Opaque datagram flows, the other kind of traffic, are in `shedsill.datagram`;
-what both use stands beside these two packages.
+Opaque datagram flows, the other kind of traffic, are in `shedsill.datagram`.
+Modules that both packages use are in `shedsill`.
 """
 
 from __future__ import annotations
--- a/shedsill/http3/_frames.py
+++ b/shedsill/http3/_frames.py
@@ -1,4 +1,4 @@
-"""Messages between nodes, as values, and their pycapnp encoding."""
+"""Frames exchanged by nodes over UDP, and their Cap'n Proto encoding."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
 
 @frozen(kw_only=True)
 class Load:
-    """How full an upstream is, as its agent counts it.
+    """Load of an upstream, as counted by its agent.
 
     Attributes
     ----------
     flows, flow_limit : int
-        Open connections and the most that are taken.
+        Number of open connections and its limit.
     busy, slots : int
-        Requests at work or waiting, and the most that work at once.
+        Number of running and queued requests, and the limit of running ones.
     open : bool
-        Whether new flows are wanted at all.
+        Whether the agent accepts new flows.
     """
 
     flows: int = 0
@@ -41,12 +41,12 @@
 
 @frozen(kw_only=True)
 class Candidate:
-    """Another upstream that could take a flow, as a balancer last saw it.
+    """Alternate upstream for a flow, with its load as known to a balancer.
 
     Attributes
     ----------
     age : float
-        Seconds since the balancer heard of this load.
+        Seconds since the balancer received this load.
     """
 
     upstream: int
@@ -56,7 +56,15 @@
 
 @frozen(kw_only=True)
 class ToUpstream:
-    """A caller's datagram on its way to an agent."""
+    """A caller's datagram, forwarded to an agent.
+
+    Attributes
+    ----------
+    alternate : Candidate or None
+        Another upstream to which the agent may pass a new flow on.
+    reply_to : Address or None
+        Balancer that received the datagram, if another agent has passed it on.
+    """
 
     generation: int
     service: int
@@ -68,13 +76,13 @@
 
     @property
     def passed(self) -> bool:
-        """Whether another agent has passed this datagram on."""
+        """Whether another agent passed this datagram on."""
         return self.reply_to is not None
 
 
 @frozen(kw_only=True)
 class ToCaller:
-    """An agent's datagram on its way to a caller."""
+    """An agent's datagram, to be forwarded to a caller."""
 
     generation: int
     service: int
@@ -86,7 +94,15 @@
 
 @frozen(kw_only=True)
 class Heartbeat:
-    """Liveness, load and generations; sent to a few peers at a time."""
+    """Liveness, load and generation of a node, with reports on other nodes.
+
+    Attributes
+    ----------
+    upstream : int
+        Number of the sending agent's upstream; 0 if a balancer sends it.
+    probe : bool
+        Whether the receiver has to answer.
+    """
 
     generation: int
     service: int
@@ -100,7 +116,7 @@
 
 
 def encode_frame(ring: KeyRing, frame: Frame) -> bytes:
-    """Encode and sign a frame."""
+    """Encode a frame and prepend its authentication tag."""
     message = SCHEMA.Frame.new_message(
         generation=frame.generation, service=frame.service
     )
@@ -160,19 +176,19 @@
 
 
 def decode_frame(ring: KeyRing, data: bytes) -> Frame:
-    """Check and decode a frame.
+    """Verify and decode a frame.
 
     Raises
     ------
     DecodeError
-        If the tag is wrong or the message is not a frame.
+        If the tag is wrong or the message is not a valid frame.
     """
     message = verify_message(ring, data)
     try:
         with SCHEMA.Frame.from_bytes(message) as reader:
             return _read_frame(reader)
     except (capnp.KjException, ValueError) as error:
-        raise DecodeError(f"not a frame: {error}") from error
+        raise DecodeError(f"not a valid frame: {error}") from error
 
 
 def _read_frame(reader: capnp._DynamicStructReader) -> Frame:
--- a/shedsill/http3/_keys.py
+++ b/shedsill/http3/_keys.py
@@ -1,12 +1,12 @@
 """Keys derived from the cluster secret, connection IDs and tickets.
 
-Every key is derived by HKDF from a secret that all nodes hold, so that a
-rotation needs no secret to travel: the accepted configuration names an epoch,
-and each node derives the key of that epoch.  Two secrets are valid while an
-operator replaces one by the other.
+All keys are derived by HKDF from a secret that all nodes share.  A key rotation
+only changes the epoch in the accepted configuration, from which each node derives
+the new key; no key is transmitted.  Two secrets are valid while an operator
+replaces one with the other.
 
-A connection ID follows the published QUIC-LB draft: one octet (three bits of
-configuration, five bits of length) and one AES-128 block.
+Connection IDs follow the QUIC-LB draft: one byte (three bits of configuration,
+five bits of length) and one AES-128 block.
 """
 
 from __future__ import annotations
@@ -46,14 +46,14 @@
 
 @frozen
 class Route:
-    """What a connection ID carries.
+    """Content of a connection ID.
 
     Attributes
     ----------
     upstream, service : int
-        Numbers of the accepted configuration; 32 and 16 bits.
+        Numbers from the accepted configuration; 32 and 16 bits.
     incarnation : int
-        Drawn by an agent at each start; 32 bits.
+        Incarnation of the agent's process; 32 bits.
     """
 
     upstream: int
@@ -63,14 +63,14 @@
 
 @frozen
 class Ticket:
-    """What an agent issues so that a caller may repeat a request.
+    """Token with which a caller can safely retry a request.
 
     Attributes
     ----------
     number : int
         Unique within one incarnation; 64 bits.
     expires_at : float
-        Wall-clock seconds after which a repeat is answered as unknown.
+        Wall-clock time in seconds after which a retry is answered as unknown.
     """
 
     upstream: int
@@ -80,12 +80,12 @@
 
 
 def parse_secret(setting: str, text: str) -> bytes:
-    """Read a cluster secret of 64 hexadecimal digits.
+    """Parse a cluster secret of 64 hexadecimal digits.
 
     Raises
     ------
     SettingError
-        If `text` does not have that form.
+        If `text` is not valid.
     """
     allowed = f"{2 * SECRET_LENGTH} hexadecimal digits"
     try:
@@ -99,12 +99,13 @@
 
 @frozen
 class KeyRing:
-    """The keys that nodes share.
+    """Keys shared by all nodes.
 
     Parameters
     ----------
     secrets : tuple of bytes
-        The first one signs and mints; all of them verify and decode.
+        Cluster secrets.  The first one is used to create tags, connection IDs and
+        tickets; all are used to verify and decode them.
 
     Examples
     --------
@@ -119,7 +120,7 @@
     secrets: tuple[bytes, ...] = field(repr=False)
 
     def make_connection_id(self, route: Route, *, epoch: int, nonce: bytes) -> bytes:
-        """Make a connection ID; `nonce` has 6 octets."""
+        """Create a connection ID; `nonce` has 6 bytes."""
         slot = epoch % KEY_SLOTS
         block = _BLOCK.pack(route.upstream, route.service, route.incarnation, nonce)
         encryptor = _make_cipher(self.secrets[0], slot).encryptor()
@@ -127,10 +128,10 @@
         return bytes((first,)) + encryptor.update(block)
 
     def decode_connection_id(self, cid: bytes) -> tuple[Route, ...]:
-        """Return the routes that a connection ID may carry, likeliest first.
+        """Return one possible route per secret, that of the first secret first.
 
-        An ID that no agent minted decodes to numbers that no configuration
-        holds, but for a chance of about one in a billion.
+        An ID that no agent issued decodes to numbers that are not configured,
+        except with a probability of about one in a billion.
         """
         if len(cid) != CONNECTION_ID_LENGTH or cid[0] & LENGTH_MASK != BLOCK_LENGTH:
             return ()
@@ -145,41 +146,43 @@
         return Route(upstream, service, incarnation)
 
     def make_reset_token(self, cid: bytes) -> bytes:
-        """Return the stateless reset token that belongs to a connection ID."""
+        """Return the stateless reset token of a connection ID."""
         key = _derive_key(self.secrets[0], b"reset", 32)
         digest = hashlib.blake2b(cid, key=key, digest_size=RESET_TOKEN_LENGTH)
         return digest.digest()
 
     def make_tag(self, message: bytes) -> bytes:
-        """Return the authentication tag of a frame between nodes."""
+        """Return the authentication tag of a message between nodes."""
         return _make_mac(self.secrets[0], message)
 
     def verify_tag(self, tag: bytes, message: bytes) -> bool:
-        """Whether a tag was made with one of the secrets."""
+        """Whether a tag was created with one of the secrets."""
         return any(
             hmac.compare_digest(_make_mac(secret, message), tag)
             for secret in self.secrets
         )
 
     def encrypt_ticket(self, ticket: Ticket) -> str:
-        """Encrypt a ticket into text that fits in a header."""
+        """Encrypt a ticket to base64url text for a header."""
         plain = _TICKET.pack(
             ticket.upstream, ticket.incarnation, ticket.number, ticket.expires_at
         )
-        sealed = AESSIV(_derive_key(self.secrets[0], b"ticket", 32)).encrypt(
+        encrypted = AESSIV(_derive_key(self.secrets[0], b"ticket", 32)).encrypt(
             plain, None
         )
-        return base64.urlsafe_b64encode(sealed).decode().rstrip("=")
+        return base64.urlsafe_b64encode(encrypted).decode().rstrip("=")
 
     def decrypt_ticket(self, text: str) -> Ticket | None:
-        """Decrypt a ticket; None where no agent of this cluster issued it."""
+        """Decrypt a ticket; None if no agent of this cluster issued it."""
         try:
-            sealed = base64.urlsafe_b64decode(text + "=" * (-len(text) % 4))
+            encrypted = base64.urlsafe_b64decode(text + "=" * (-len(text) % 4))
         except ValueError:
             return None
         for secret in self.secrets:
             try:
-                plain = AESSIV(_derive_key(secret, b"ticket", 32)).decrypt(sealed, None)
+                plain = AESSIV(_derive_key(secret, b"ticket", 32)).decrypt(
+                    encrypted, None
+                )
             except (InvalidTag, ValueError):
                 continue
             return Ticket(*_TICKET.unpack(plain))
@@ -200,7 +203,7 @@
 
 @functools.lru_cache(maxsize=64)
 def _make_decryptor(secret: bytes, slot: int) -> CipherContext:
-    """Return a context to be kept: in ECB mode no block depends on another."""
+    """Return a reusable context; in ECB mode blocks are independent."""
     return _make_cipher(secret, slot).decryptor()
 
 
@@ -210,7 +213,7 @@
 
 
 def verify_message(ring: KeyRing, signed: bytes) -> bytes:
-    """Check the tag in front of a message and return the message.
+    """Verify the tag in front of a message and return the message.
 
     Raises
     ------
@@ -219,10 +222,10 @@
     """
     tag, message = signed[:MAC_LENGTH], signed[MAC_LENGTH:]
     if len(tag) < MAC_LENGTH or not ring.verify_tag(tag, message):
-        raise DecodeError(f"an envelope of {len(signed)} octets has a bad tag")
+        raise DecodeError(f"message of {len(signed)} bytes has an invalid tag")
     return message
 
 
 def sign_message(ring: KeyRing, message: bytes) -> bytes:
-    """Put the authentication tag in front of a message."""
+    """Return a message with its authentication tag in front."""
     return ring.make_tag(message) + message
--- a/shedsill/http3/_packets.py
+++ b/shedsill/http3/_packets.py
@@ -1,4 +1,4 @@
-"""The part of a QUIC packet header that routing looks at."""
+"""Parsing of the QUIC packet header fields that routing needs."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class PacketKind(enum.Enum):
-    """How much a packet can do."""
+    """Kind of a QUIC packet, as far as routing distinguishes them."""
 
     INITIAL = "initial"
     LONG = "long"
@@ -23,14 +23,14 @@
 
 @frozen
 class PacketHeader:
-    """The first packet of a datagram.
+    """Header of the first packet in a datagram.
 
     Attributes
     ----------
     cid, source_cid : bytes
         Destination and source connection IDs.
     has_token : bool
-        Whether an Initial carries a token.
+        Whether an Initial packet contains a token.
     """
 
     kind: PacketKind
@@ -40,7 +40,7 @@
 
 
 def read_packet_header(datagram: bytes) -> PacketHeader | None:
-    """Read the header of a datagram's first packet; None if it is not QUIC.
+    """Parse the header of a datagram's first packet; None if it is not QUIC.
 
     Examples
     --------
--- a/shedsill/http3/_peers.py
+++ b/shedsill/http3/_peers.py
@@ -1,4 +1,4 @@
-"""Messages between nodes over HTTP: requests passed on, records handed over."""
+"""Messages between agents over HTTP: forwarded requests and handovers."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @frozen(kw_only=True)
 class PeerRequest:
-    """A request that one agent passes to another."""
+    """A request that one agent forwards to another."""
 
     service: int
     upstream: int
@@ -39,14 +39,14 @@
 
 @frozen(kw_only=True)
 class Handover:
-    """A leaver's records, for the agent of upstream `upstream`."""
+    """A leaving agent's records, for the agent of upstream number `upstream`."""
 
     upstream: int
     transfers: tuple[Transfer, ...]
 
 
 def encode_peer_request(ring: KeyRing, request: PeerRequest) -> bytes:
-    """Encode and sign a passed request."""
+    """Encode and sign a forwarded request."""
     message = SCHEMA.PeerRequest.new_message(
         service=request.service,
         upstream=request.upstream,
@@ -60,8 +60,8 @@
 
 
 def decode_peer_request(ring: KeyRing, data: bytes) -> PeerRequest:
-    """Check and decode a passed request; raises `DecodeError`."""
-    with _open(ring, data, SCHEMA.PeerRequest) as reader:
+    """Verify and decode a forwarded request; raises `DecodeError`."""
+    with _open_message(ring, data, SCHEMA.PeerRequest) as reader:
         return PeerRequest(
             service=reader.service,
             upstream=reader.upstream,
@@ -74,15 +74,15 @@
 
 
 def encode_peer_answer(ring: KeyRing, answer: RecordedAnswer) -> bytes:
-    """Encode and sign the answer to a passed request."""
+    """Encode and sign the answer to a forwarded request."""
     message = SCHEMA.PeerAnswer.new_message()
     _fill_answer(message, answer)
     return sign_message(ring, message.to_bytes())
 
 
 def decode_peer_answer(ring: KeyRing, data: bytes) -> RecordedAnswer:
-    """Check and decode the answer; raises `DecodeError`."""
-    with _open(ring, data, SCHEMA.PeerAnswer) as reader:
+    """Verify and decode the answer; raises `DecodeError`."""
+    with _open_message(ring, data, SCHEMA.PeerAnswer) as reader:
         return _read_answer(reader)
 
 
@@ -95,27 +95,27 @@
         entry.incarnation = transfer.issuer.incarnation
         entry.clock = transfer.issuer_time
         records = entry.init("records", len(transfer.records))
-        for slot, (number, record) in zip(records, transfer.records, strict=True):
-            slot.number = number
-            _fill_record(slot, record)
+        for body, (number, record) in zip(records, transfer.records, strict=True):
+            body.number = number
+            _fill_record(body, record)
     return sign_message(ring, message.to_bytes())
 
 
-def _fill_record(slot: capnp._DynamicStructBuilder, record: Record) -> None:
-    slot.fingerprint = record.fingerprint
-    slot.expires = record.expires_at
+def _fill_record(body: capnp._DynamicStructBuilder, record: Record) -> None:
+    body.fingerprint = record.fingerprint
+    body.expires = record.expires_at
     match record:
         case Done(answer=answer):
-            _fill_answer(slot.init("done"), answer)
+            _fill_answer(body.init("done"), answer)
         case Refused():
-            slot.refused = None
+            body.refused = None
         case _:
-            slot.mayHaveRun = None
+            body.mayHaveRun = None
 
 
 def decode_handover(ring: KeyRing, data: bytes) -> Handover:
-    """Check and decode a handover; raises `DecodeError`."""
-    with _open(ring, data, SCHEMA.Handover) as reader:
+    """Verify and decode a handover; raises `DecodeError`."""
+    with _open_message(ring, data, SCHEMA.Handover) as reader:
         return Handover(
             upstream=reader.upstream,
             transfers=tuple(_read_transfer(entry) for entry in reader.transfers),
@@ -126,27 +126,27 @@
     return Transfer(
         issuer=IssuerKey(entry.upstream, entry.incarnation),
         issuer_time=entry.clock,
-        records=tuple((slot.number, _read_record(slot)) for slot in entry.records),
+        records=tuple((body.number, _read_record(body)) for body in entry.records),
     )
 
 
-def _read_record(slot: capnp._DynamicStructReader) -> Record:
-    fingerprint = bytes(slot.fingerprint)
-    match str(slot.which()):
+def _read_record(body: capnp._DynamicStructReader) -> Record:
+    fingerprint = bytes(body.fingerprint)
+    match str(body.which()):
         case "done":
-            answer = _read_answer(slot.done)
-            return Done(fingerprint=fingerprint, expires_at=slot.expires, answer=answer)
+            answer = _read_answer(body.done)
+            return Done(fingerprint=fingerprint, expires_at=body.expires, answer=answer)
         case "refused":
-            return Refused(fingerprint=fingerprint, expires_at=slot.expires)
+            return Refused(fingerprint=fingerprint, expires_at=body.expires)
         case _:
-            return MayHaveRun(fingerprint=fingerprint, expires_at=slot.expires)
+            return MayHaveRun(fingerprint=fingerprint, expires_at=body.expires)
 
 
 @contextlib.contextmanager
-def _open(
+def _open_message(
     ring: KeyRing, data: bytes, schema: capnp._StructModule
 ) -> Iterator[capnp._DynamicStructReader]:
-    """Open an envelope as a reader; anything unreadable is a `DecodeError`."""
+    """Verify a message and open a reader on it; raises `DecodeError`."""
     message = verify_message(ring, data)
     try:
         with schema.from_bytes(
@@ -154,7 +154,7 @@
         ) as reader:
             yield reader
     except (capnp.KjException, ValueError) as error:
-        raise DecodeError(f"not a message: {error}") from error
+        raise DecodeError(f"not a valid message: {error}") from error
 
 
 def _fill_answer(body: capnp._DynamicStructBuilder, answer: RecordedAnswer) -> None:
--- a/shedsill/http3/_platform_purposes.py
+++ b/shedsill/http3/_platform_purposes.py
@@ -1,4 +1,4 @@
-"""Why the platform is called, so that its answers find their way back."""
+"""Purposes of platform calls, by which their outcomes are dispatched."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Purpose(enum.Enum):
-    """Why the platform was called."""
+    """Purpose of a platform call."""
 
     LEASE = "lease"
     LIST = "list"
--- a/shedsill/http3/_reducer.py
+++ b/shedsill/http3/_reducer.py
@@ -1,7 +1,6 @@
-"""The one reducer: every event of a process goes through `reduce`.
+"""The reducer, which dispatches every event of a process to its handler.
 
-It is pure: no clock, randomness, socket or store is inside.  It matches on the
-class of the event and calls the small module that decides.
+It is a pure function: it uses no clock, random source, socket or store.
 """
 
 from __future__ import annotations
@@ -49,7 +48,7 @@
 
 
 def reduce(state: State, event: Event) -> tuple[State, list[Effect]]:
-    """Return the next state and what has to be done.
+    """Return the next state and the effects to execute.
 
     Parameters
     ----------
@@ -59,7 +58,7 @@
     Raises
     ------
     InvariantError
-        If the event cannot happen to a node of this role.
+        If a node of this role cannot receive the event.
     """
     match event:
         case Tick():
@@ -105,7 +104,7 @@
         case StopRequested():
             return _balancer.handle_stop(state, event)
         case _:
-            raise InvariantError(f"a balancer was given {type(event).__name__}")
+            raise InvariantError(f"balancer received {type(event).__name__}")
 
 
 def _reduce_agent(state: AgentState, event: Event) -> tuple[AgentState, list[Effect]]:
@@ -145,4 +144,4 @@
         case StopRequested():
             return _agent.handle_stop(state, event)
         case _:
-            raise InvariantError(f"an agent was given {type(event).__name__}")
+            raise InvariantError(f"agent received {type(event).__name__}")
--- a/shedsill/http3/_resources.py
+++ b/shedsill/http3/_resources.py
@@ -1,4 +1,4 @@
-"""The resources that operators write, and how documents become resources."""
+"""Resources written by operators, and their validation."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
 
 
 class Action(enum.Enum):
-    """What a `Change` asks for."""
+    """Action requested by a `Change`."""
 
     DRAIN = "drain"
     UNDRAIN = "undrain"
@@ -64,22 +64,22 @@
 
 @frozen(kw_only=True)
 class RequestClass:
-    """Requests of one service that are treated alike.
+    """Requests of one service with the same settings.
 
     Attributes
     ----------
     name : str
-        Shown in logs and metrics.
+        Name in logs and metrics.
     method : str
         HTTP method, or ``*`` for any.
     path : str
         Path prefix.
     kind : RequestKind
-        Whether a request takes a slot while it runs, or is a long stream.
+        Whether a request occupies a slot while it runs, or is a long-lived stream.
     repeatable : bool
-        Whether running it twice does no harm.
+        Whether the request is idempotent, so that it may be retried.
     deadline : float
-        Seconds from arrival to the whole answer; streams have none.
+        Seconds from arrival to the complete answer; does not apply to streams.
     """
 
     name: str = field(validator=_check_name)
@@ -99,11 +99,11 @@
     address : str
         ``IP:PORT`` to which callers send.
     connections : int
-        Most connections that one upstream takes.
+        Maximum number of connections per upstream.
     slots : int
-        Most requests that one upstream works on at once.
+        Maximum number of requests that run at one upstream at a time.
     queue : int
-        Most requests that wait at one upstream.
+        Maximum number of queued requests per upstream.
     """
 
     name: str = field(validator=_check_name)
@@ -116,7 +116,7 @@
 
 @frozen(kw_only=True)
 class Upstream:
-    """One back end and the agent beside it.
+    """One backend server and the agent beside it.
 
     Attributes
     ----------
@@ -142,7 +142,7 @@
 
 @frozen(kw_only=True)
 class Change:
-    """A planned change whose status is watched until it is done.
+    """A planned change, whose status shows when it is done.
 
     Attributes
     ----------
@@ -171,36 +171,36 @@
 
 def _make_converter() -> cattrs.Converter:
     converter = cattrs.Converter(forbid_extra_keys=True, detailed_validation=True)
-    converter.register_structure_hook(float, _read_number)
-    converter.register_structure_hook(int, _read_integer)
-    converter.register_structure_hook(str, _read_text)
-    converter.register_structure_hook(bool, _read_boolean)
-    converter.register_structure_hook(Action, _read_action)
+    converter.register_structure_hook(float, _structure_number)
+    converter.register_structure_hook(int, _structure_integer)
+    converter.register_structure_hook(str, _structure_text)
+    converter.register_structure_hook(bool, _structure_boolean)
+    converter.register_structure_hook(Action, _structure_action)
     for cls in (RequestClass, Service, Upstream, UpstreamSet, Change):
         hook = make_dict_structure_fn(cls, converter, _cattrs_forbid_extra_keys=True)
         converter.register_structure_hook(cls, hook)
     return converter
 
 
-def _read_number(value: object, _type: type) -> float:
+def _structure_number(value: object, _type: type) -> float:
     if isinstance(value, bool) or not isinstance(value, (int, float)):
         raise DocumentError("", value, "a number")
     return float(value)
 
 
-def _read_integer(value: object, _type: type) -> int:
+def _structure_integer(value: object, _type: type) -> int:
     if isinstance(value, bool) or not isinstance(value, int):
         raise DocumentError("", value, "a whole number")
     return value
 
 
-def _read_text(value: object, _type: type) -> str:
+def _structure_text(value: object, _type: type) -> str:
     if not isinstance(value, str):
         raise DocumentError("", value, "text")
     return value
 
 
-def _read_action(value: object, _type: type) -> Action:
+def _structure_action(value: object, _type: type) -> Action:
     try:
         return Action(value)
     except ValueError:
@@ -208,7 +208,7 @@
         raise DocumentError("", value, f"one of {allowed}") from None
 
 
-def _read_boolean(value: object, _type: type) -> bool:
+def _structure_boolean(value: object, _type: type) -> bool:
     if not isinstance(value, bool):
         raise DocumentError("", value, "true or false")
     return value
@@ -218,7 +218,7 @@
 
 
 def _convert_error(error: BaseException, path: str) -> DocumentError:
-    """Turn the first error in a tree of structuring errors into one message."""
+    """Convert the first error in a group of cattrs errors to a `DocumentError`."""
     notes = getattr(error, "__notes__", [])
     for note in notes:
         name = getattr(note, "name", None)
@@ -242,7 +242,7 @@
 
 
 def parse_resource(document: object) -> Resource:
-    """Check one document field by field and return its resource.
+    """Validate a document and return its resource.
 
     Parameters
     ----------
@@ -252,7 +252,7 @@
     Raises
     ------
     DocumentError
-        Names the field, the value and what is allowed.
+        If a field is not valid.
 
     Examples
     --------
@@ -297,25 +297,27 @@
         case Change(action=Action.ROTATE_KEYS, target=target) if target:
             raise DocumentError("spec.target", target, "empty for rotate-keys")
         case Change(action=action, target="") if action != Action.ROTATE_KEYS:
-            raise DocumentError("spec.target", "", "the name of what changes")
+            raise DocumentError(
+                "spec.target", "", "the name of an upstream or balancer"
+            )
 
 
 def _check_unique(name: str, values: list[str]) -> None:
     for value in values:
         if values.count(value) > 1:
-            raise DocumentError(name, value, "each value once")
+            raise DocumentError(name, value, "unique values")
 
 
 @frozen(kw_only=True)
 class Document:
-    """A resource and the version of it that an operator last saw."""
+    """A resource and the version that its author last read."""
 
     resource: Resource
     version: int | None = None
 
 
 def parse_documents(text: str) -> tuple[Document, ...]:
-    """Read YAML or JSON text with one or more documents.
+    """Parse YAML or JSON text with one or more documents.
 
     Raises
     ------
@@ -339,14 +341,14 @@
 
 
 def encode_spec(resource: Resource) -> dict[str, Any]:
-    """Return the ``spec`` mapping under which the platform stores a resource."""
+    """Return the ``spec`` mapping of a resource, as the platform stores it."""
     spec = CONVERTER.unstructure(resource)
     del spec["name"]
     return json.loads(json.dumps(spec))
 
 
 def decode_spec(kind: str, name: str, spec: dict[str, Any]) -> Resource:
-    """Rebuild a resource from a stored ``spec``; checks it again."""
+    """Validate a stored ``spec`` and return its resource."""
     return _structure_resource(kind, name, spec)
 
 
--- a/shedsill/http3/_status.py
+++ b/shedsill/http3/_status.py
@@ -1,4 +1,4 @@
-"""A node's own object in the platform, written when its status changes."""
+"""The status object of a node, written to the platform when it changes."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class NodeStatus(enum.Enum):
-    """What a node says of itself."""
+    """Status that a node reports."""
 
     SERVING = "serving"
     DRAINING = "draining"
@@ -27,16 +27,16 @@
 
 @frozen(kw_only=True)
 class StatusWriter:
-    """What is known of the object.
+    """Last known state of the stored status object.
 
     Attributes
     ----------
     version : int
-        As last seen.
+        Version of the object.
     written : NodeStatus or None
-        The status that the platform holds, as far as known.
+        Status in the object, if known.
     due : float
-        Local time of the next attempt.
+        Local time of the next attempt to write.
     """
 
     version: int = 0
@@ -51,7 +51,7 @@
     details: dict[str, Any],
     now: float,
 ) -> tuple[StatusWriter, list[Effect]]:
-    """Write the status if it is not what the platform holds."""
+    """Write the status if it differs from the stored one and a write is due."""
     if status == writer.written or now < writer.due:
         return writer, []
     value = {"status": status.value, **details}
@@ -63,7 +63,7 @@
 def record_status_outcome(
     writer: StatusWriter, event: PlatformAnswered
 ) -> StatusWriter:
-    """Note what became of a write."""
+    """Record the outcome of a write."""
     match event.outcome:
         case Stored(version=version):
             return evolve(writer, version=version, written=NodeStatus(event.name))
