--- a/shedsill/tests/test_guards.py
+++ b/shedsill/tests/test_guards.py
@@ -1,8 +1,6 @@
-"""Each guard of the system, taken out and put back.
+"""Mutation tests: each scenario has to pass with its guard and fail without it.
 
-A scenario that passes with the guard in place has to fail without it: otherwise
-the tests would not notice that the guard had gone.  ``docs/proofs.md`` has the
-table.
+``docs/proofs.md`` lists the guards.
 """
 
 from __future__ import annotations
@@ -37,7 +35,7 @@
 
 @frozen
 class Guard:
-    """A guard: where it stands, and what takes its place when it is out."""
+    """A function that guards a property, and the replacement that disables it."""
 
     owner: object
     name: str
@@ -45,25 +43,25 @@
 
 
 def get_ticket(scene: Scenario) -> str:
-    """Return an unused ticket of the scene's agent."""
+    """Return an unused ticket issued by the scene's agent."""
     return run_request(scene, "first", path="/read").ticket
 
 
 def open_other_flow(scene: Scenario) -> Scenario:
-    """Return the same world with another flow to the same service."""
+    """Return a scene in the same world with another flow to the service."""
     flow = scene.world.open_flow("dispatcher")
     scene.world.settle(0.3)
     return Scenario(scene.world, flow)
 
 
-def repeat_runs_once(scene: Scenario) -> None:
+def repeated_request_runs_once(scene: Scenario) -> None:
     ticket = get_ticket(scene)
     run_request(scene, "w", key=ticket)
     again = run_request(open_other_flow(scene), "w", key=ticket)
     assert again.outcome == RequestOutcome.DONE
 
 
-def unknown_never_runs_again(scene: Scenario) -> None:
+def request_with_unknown_outcome_does_not_run_again(scene: Scenario) -> None:
     ticket = get_ticket(scene)
     scene.world.send_request(scene.flow, "w", key=ticket)
     scene.world.settle()
@@ -73,7 +71,7 @@
     assert again.outcome == RequestOutcome.UNKNOWN
 
 
-def refused_ticket_stays_refused(scene: Scenario) -> None:
+def request_with_refused_ticket_does_not_run(scene: Scenario) -> None:
     ticket = get_ticket(scene)
     slow = [scene.world.send_request(scene.flow, f"slow{i}") for i in range(20)]
     scene.world.settle()
@@ -87,7 +85,7 @@
     run_request(scene, "w", key=ticket)
 
 
-def restart_never_overloads(scene: Scenario) -> None:
+def agent_restart_does_not_overload_the_upstream(scene: Scenario) -> None:
     scene.world.cancel_delay = 1.5
     for index in range(2):
         scene.world.send_request(scene.flow, f"w{index}")
@@ -104,30 +102,30 @@
     scene.world.settle(0.3)
 
 
-def expired_request_frees_its_slot_late(scene: Scenario) -> None:
+def expired_request_releases_its_slot_late(scene: Scenario) -> None:
     for index in range(4):
         scene.world.send_request(scene.flow, f"w{index}")
         scene.world.settle(1.0)
     scene.world.settle(6.0)
 
 
-def generation_never_goes_back(scene: Scenario) -> None:
+def generation_does_not_decrease(scene: Scenario) -> None:
     old = scene.world.nodes["b1"].state.node.configuration
     apply_change(scene, Action.ROTATE_KEYS)
     scene.world.settle(4.0)
     for process in scene.world.nodes.values():
-        process.state = _offer(process.state, old)
+        process.state = _apply_configuration(process.state, old)
         generation = process.state.node.configuration.generation
         assert generation > old.generation
 
 
-def _offer(state, configuration):
+def _apply_configuration(state, configuration):
     node, _effects = _node.apply_newer_configuration(state.node, configuration)
     return evolve(state, node=node)
 
 
-def one_generation_one_configuration(scene: Scenario) -> None:
-    """Two balancers that both believe that they hold the lease accept at once."""
+def concurrent_writes_do_not_share_a_generation(scene: Scenario) -> None:
+    """Two balancers that both hold the lease accept changes concurrently."""
     world = scene.world
     for name in ("b1", "b2"):
         process = world.nodes[name]
@@ -145,7 +143,7 @@
     world.check_end()
 
 
-def leaver_hands_its_record_on(scene: Scenario) -> None:
+def leaving_agent_hands_over_its_records(scene: Scenario) -> None:
     ticket = get_ticket(scene)
     first = run_request(scene, "w", key=ticket)
     scene.world.close_flow(scene.flow)
@@ -155,15 +153,15 @@
     assert again.body == first.body
 
 
-def leaver_takes_no_new_work(scene: Scenario) -> None:
+def leaving_agent_refuses_new_requests(scene: Scenario) -> None:
     apply_change(scene, Action.DRAIN, scene.agent)
     scene.world.settle(3.0)
     late = run_request(scene, "late")
     assert late.outcome == RequestOutcome.NOT_RUN
 
 
-def silent_stream_finds_another_balancer(scene: Scenario) -> None:
-    """The caller only listens; its answers went through a balancer that died."""
+def waiting_flow_moves_to_another_balancer(scene: Scenario) -> None:
+    """A balancer fails while a caller waits for an answer through it."""
     world = scene.world
     attempt = world.send_request(scene.flow, "w")
     world.settle()
@@ -178,7 +176,7 @@
     assert attempt.outcome == RequestOutcome.DONE
 
 
-def outage_does_not_stop_the_spread(scene: Scenario) -> None:
+def configuration_spreads_during_a_platform_outage(scene: Scenario) -> None:
     apply_change(scene, Action.ROTATE_KEYS)
     world = scene.world
     while max(world.accepted) < 2:
@@ -191,7 +189,7 @@
     assert generations == {2}
 
 
-def dead_candidate_is_passed_over(scene: Scenario) -> None:
+def flows_open_despite_a_dead_candidate(scene: Scenario) -> None:
     world = scene.world
     world.kill("d1")
     flows = [world.open_flow("dispatcher") for _ in range(12)]
@@ -202,7 +200,7 @@
     assert all(flow.cid for flow in flows)
 
 
-def empty_platform_drains_nothing(scene: Scenario) -> None:
+def check_empty_platform_drains_no_upstream(scene: Scenario) -> None:
     world = scene.world
     world.platform.objects.clear()
     world.platform.revision += 1
@@ -211,8 +209,8 @@
     assert {u.state.value for u in configuration.upstreams} == {"active"}
 
 
-def new_incarnation_refuses_old_ids(scene: Scenario) -> None:
-    """A restarted agent must not take packets of its predecessor's flows."""
+def new_incarnation_rejects_earlier_ids(scene: Scenario) -> None:
+    """A restarted agent does not accept packets of flows from before its start."""
     agent = scene.agent
     scene.world.kill(agent)
     scene.world.start_agent(agent)
@@ -224,7 +222,7 @@
     assert process.state.flow_count == 0
 
 
-def _put_always(self: MemoryPlatform, call: Put):
+def _put_unconditionally(self: MemoryPlatform, call: Put):
     self.revision += 1
     current = self.objects.get((call.kind, call.name))
     expected = current.version if current else 0
@@ -236,11 +234,11 @@
 _original_put = MemoryPlatform._put
 
 
-def _forget_record(*_arguments):
+def _find_no_record(*_arguments):
     return None
 
 
-def _forget_issuer(state, request):
+def _drop_records_of_issuer(state, request):
     if request.issuer is None:
         return state
     issuers = state.outcomes.issuers.set(request.issuer, _outcomes.IssuerRecords())
@@ -251,35 +249,35 @@
     return state, []
 
 
-def _settle_nothing(outcomes, now):
+def _make_no_transfers(outcomes, now):
     del outcomes, now
     return ()
 
 
 CASES: dict[str, tuple[Guard, Callable[[Scenario], None]]] = {
     "record of outcomes": (
-        Guard(_requests, "find_record", _forget_record),
-        repeat_runs_once,
+        Guard(_requests, "find_record", _find_no_record),
+        repeated_request_runs_once,
     ),
     "unknown is final": (
         Guard(
             _request_completion,
             "record_unknown",
-            _forget_issuer,
+            _drop_records_of_issuer,
         ),
-        unknown_never_runs_again,
+        request_with_unknown_outcome_does_not_run_again,
     ),
     "refusal is final": (
         Guard(
             _request_completion,
             "record_refusal",
-            _forget_issuer,
+            _drop_records_of_issuer,
         ),
-        refused_ticket_stays_refused,
+        request_with_refused_ticket_does_not_run,
     ),
     "slots held after a restart": (
         Guard(_agent, "get_longest_deadline", lambda _service: 0.0),
-        restart_never_overloads,
+        agent_restart_does_not_overload_the_upstream,
     ),
     "slot cools after an abort": (
         Guard(
@@ -289,35 +287,35 @@
                 admission, request, now
             ),
         ),
-        expired_request_frees_its_slot_late,
+        expired_request_releases_its_slot_late,
     ),
     "higher generation only": (
         Guard(_node, "is_newer", lambda _offered, _current: True),
-        generation_never_goes_back,
+        generation_does_not_decrease,
     ),
     "conditional update": (
-        Guard(MemoryPlatform, "_put", _put_always),
-        one_generation_one_configuration,
+        Guard(MemoryPlatform, "_put", _put_unconditionally),
+        concurrent_writes_do_not_share_a_generation,
     ),
     "record is handed on": (
-        Guard(_drain, "make_transfers", _settle_nothing),
-        leaver_hands_its_record_on,
+        Guard(_drain, "make_transfers", _make_no_transfers),
+        leaving_agent_hands_over_its_records,
     ),
     "leaver refuses new work": (
         Guard(_agent, "update_drain", _keep_state),
-        leaver_takes_no_new_work,
+        leaving_agent_refuses_new_requests,
     ),
     "reply path moves": (
         Guard(_agent, "replace_silent_reply_paths", _keep_state),
-        silent_stream_finds_another_balancer,
+        waiting_flow_moves_to_another_balancer,
     ),
     "generation rides on frames": (
         Guard(_node, "handle_generation", lambda spread, *_rest: (spread, None)),
-        outage_does_not_stop_the_spread,
+        configuration_spreads_during_a_platform_outage,
     ),
     "silent candidate is skipped": (
         Guard(_routing, "is_silent", lambda _agent, _now: False),
-        dead_candidate_is_passed_over,
+        flows_open_despite_a_dead_candidate,
     ),
     "incarnation in the ID": (
         Guard(
@@ -327,20 +325,20 @@
                 _flows._deliver(frame, reply_to, fresh=True)
             ],
         ),
-        new_incarnation_refuses_old_ids,
+        new_incarnation_rejects_earlier_ids,
     ),
 }
 _original_drop = _requests.drop_request
 
 
 @pytest.mark.parametrize("name", sorted(CASES))
-def test_promise_holds_with_the_guard(name: str) -> None:
+def test_scenario_passes_with_the_guard(name: str) -> None:
     _guard, scenario = CASES[name]
     scenario(make_scenario())
 
 
 @pytest.mark.parametrize("name", sorted(CASES))
-def test_promise_fails_without_the_guard(
+def test_scenario_fails_without_the_guard(
     name: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     guard, scenario = CASES[name]
@@ -350,5 +348,5 @@
         scenario(scene)
 
 
-def test_empty_platform_drains_nothing() -> None:
-    empty_platform_drains_nothing(make_scenario())
+def test_empty_platform_drains_no_upstream() -> None:
+    check_empty_platform_drains_no_upstream(make_scenario())
