--- a/shedsill/http3/_acceptor.py
+++ b/shedsill/http3/_acceptor.py
@@ -198,8 +198,8 @@
         base = node.configuration
     if _has_lost_resources(base, listing):
         fields = {"generation": base.generation}
-        note = WriteLog(event=LogEvent.RESOURCES_MISSING, fields=fields)
-        return evolve(acceptor, listing_processed=True), [note]
+        log = WriteLog(event=LogEvent.RESOURCES_MISSING, fields=fields)
+        return evolve(acceptor, listing_processed=True), [log]
     inputs = _make_inputs(acceptor, node, listing, base, now)
     acceptance = accept_resources(base, inputs)
     configuration = acceptance.configuration
@@ -316,7 +316,7 @@
     """Return draining upstreams that cannot have any flow left.
 
     Either the agent reports it, or its VM is lost: not on the platform's list and
-    not heard of by any node for `FORGET_AFTER` seconds.
+    not heard of by any node for `FORGET_AFTER_SECONDS`.
     """
     reported = {
         item.value.get("upstream")
--- a/shedsill/http3/_balancer.py
+++ b/shedsill/http3/_balancer.py
@@ -257,8 +257,8 @@
         case _, outcome:
             acceptor = schedule_list(acceptor, now, delay=RETRY_DELAY_SECONDS)
             fields = {"purpose": event.purpose.value, "reason": str(outcome)}
-            note = WriteLog(event=LogEvent.PLATFORM_FAILED, fields=fields)
-            return evolve(state, acceptor=acceptor), [note]
+            log = WriteLog(event=LogEvent.PLATFORM_FAILED, fields=fields)
+            return evolve(state, acceptor=acceptor), [log]
     return evolve(state, acceptor=acceptor), []
 
 
@@ -305,10 +305,10 @@
         fields = {"purpose": "accept", "reason": str(event.outcome)}
         return state, [WriteLog(event=LogEvent.PLATFORM_FAILED, fields=fields)]
     fields = {"generation": pending.generation}
-    note = WriteLog(event=LogEvent.CONFIGURATION_ACCEPTED, fields=fields)
+    log = WriteLog(event=LogEvent.CONFIGURATION_ACCEPTED, fields=fields)
     offered = ConfigurationOffered(configuration=pending, now=event.now)
     state, effects = handle_configuration(state, offered)
-    return state, [note, *effects]
+    return state, [log, *effects]
 
 
 def _record_status_write(acceptor: Acceptor, event: PlatformAnswered) -> Acceptor:
--- a/shedsill/http3/_node.py
+++ b/shedsill/http3/_node.py
@@ -77,7 +77,7 @@
     incarnation: int
     seed_addresses: tuple[Address, ...] = ()
     configuration: Configuration = field(factory=Configuration)
-    spread: Propagation = field(factory=Propagation)
+    propagation: Propagation = field(factory=Propagation)
     membership: Membership = field(factory=Membership)
     beat: int = 0
     next_heartbeat_at: float = 0.0
@@ -184,7 +184,7 @@
 
 
 def is_lost(node: Node, name: str, now: float) -> bool:
-    """Whether no node has heard of a member for `FORGET_AFTER` seconds.
+    """Whether no node has heard of a member for `FORGET_AFTER_SECONDS`.
 
     False as long as this node itself has not had live peers for that time, as after
     its start, because it may have missed the reports.
@@ -218,9 +218,11 @@
 ) -> tuple[Node, list[Effect]]:
     """Handle the generation of a frame and the node reports of a heartbeat."""
     effects: list[Effect] = []
-    spread, pull = handle_generation(node.spread, frame.generation, source, now)
-    if spread is not node.spread:
-        node = evolve(node, spread=spread)
+    propagation, pull = handle_generation(
+        node.propagation, frame.generation, source, now
+    )
+    if propagation is not node.propagation:
+        node = evolve(node, propagation=propagation)
     if pull is not None:
         fields = {"peer": str(source), "generation": frame.generation}
         effects.append(WriteLog(event=LogEvent.CONFIGURATION_PULLED, fields=fields))
@@ -253,7 +255,7 @@
 ) -> tuple[Node, list[Effect]]:
     """Apply a configuration if its generation is higher than the current one."""
     if not is_newer(configuration, node.configuration):
-        node = evolve(node, spread=record_pull_failure(node.spread))
+        node = evolve(node, propagation=record_pull_failure(node.propagation))
         if configuration.generation == node.configuration.generation:
             return node, []
         fields = {
@@ -264,7 +266,7 @@
     node = evolve(
         node,
         configuration=configuration,
-        spread=record_applied(node.spread, configuration.generation),
+        propagation=record_applied(node.propagation, configuration.generation),
     )
     fields = {"generation": configuration.generation}
     return node, [
--- a/shedsill/http3/_reducer.py
+++ b/shedsill/http3/_reducer.py
@@ -72,7 +72,9 @@
             offered = ConfigurationOffered(configuration=configuration, now=event.now)
             return reduce(state, offered)
         case PullFailed():
-            node = evolve(state.node, spread=record_pull_failure(state.node.spread))
+            node = evolve(
+                state.node, propagation=record_pull_failure(state.node.propagation)
+            )
             return evolve(state, node=node), []
     match state:
         case BalancerState():
--- a/shedsill/tests/test_guards.py
+++ b/shedsill/tests/test_guards.py
@@ -310,7 +310,9 @@
         waiting_flow_moves_to_another_balancer,
     ),
     "generation rides on frames": (
-        Guard(_node, "handle_generation", lambda spread, *_rest: (spread, None)),
+        Guard(
+            _node, "handle_generation", lambda propagation, *_rest: (propagation, None)
+        ),
         configuration_spreads_during_a_platform_outage,
     ),
     "silent candidate is skipped": (
