--- a/shedsill/http3/_balancer.py
+++ b/shedsill/http3/_balancer.py
@@ -155,8 +155,8 @@
         state.router,
         state.node.configuration,
         event.now,
-        idle=PROBE_IDLE_SECONDS,
-        beat=state.node.beat,
+        idle_seconds=PROBE_IDLE_SECONDS,
+        heartbeat_number=state.node.heartbeat_number,
     )
     router = state.router
     for upstream in probed:
@@ -296,9 +296,9 @@
     """Apply the configuration if it was stored; otherwise list the resources again."""
     pending = acceptor.pending_configuration
     stored = isinstance(event.outcome, Stored)
-    pause = 0.0 if stored else RETRY_DELAY_SECONDS
+    delay = 0.0 if stored else RETRY_DELAY_SECONDS
     acceptor = schedule_list(
-        evolve(acceptor, pending_configuration=None), event.now, delay=pause
+        evolve(acceptor, pending_configuration=None), event.now, delay=delay
     )
     state = evolve(state, acceptor=acceptor)
     if not stored or pending is None:
--- a/shedsill/http3/_configuration_rules.py
+++ b/shedsill/http3/_configuration_rules.py
@@ -121,14 +121,14 @@
 def _accept_services(
     previous: Configuration, inputs: AcceptanceInputs, verdicts: list[Verdict]
 ) -> Configuration:
-    numbers = {s.name: s for s in previous.services}
+    known_services = {s.name: s for s in previous.services}
     address_owners: dict[str, str] = {}
     next_number = previous.next_service
     kept: list[AcceptedService] = []
     for service in sorted(
-        inputs.services, key=lambda s: (s.name not in numbers, s.name)
+        inputs.services, key=lambda s: (s.name not in known_services, s.name)
     ):
-        known = numbers.get(service.name)
+        known = known_services.get(service.name)
         owner = address_owners.setdefault(service.address, service.name)
         reason = ""
         if owner != service.name:
@@ -165,25 +165,27 @@
     owners: dict[str, str] = {}
     kept: dict[int, AcceptedUpstream] = {}
     next_number = draft.next_upstream
-    rejected = _find_services_with_invalid_sets(inputs, services)
-    for group in sorted(inputs.upstream_sets, key=lambda group: group.name):
-        reason = _find_set_error(group, services, present, owners)
+    unchanged_services = _find_services_with_invalid_sets(inputs, services)
+    for upstream_set in sorted(
+        inputs.upstream_sets, key=lambda upstream_set: upstream_set.name
+    ):
+        reason = _find_set_error(upstream_set, services, present, owners)
         if reason:
-            verdicts.append(_reject("upstreamset", group.name, reason))
-            rejected.add(services.get(group.service, 0))
+            verdicts.append(_reject("upstreamset", upstream_set.name, reason))
+            unchanged_services.add(services.get(upstream_set.service, 0))
             continue
-        service = services[group.service]
-        for member in group.upstreams:
-            owners[member.address] = f"{group.name}/{member.name}"
+        service = services[upstream_set.service]
+        for member in upstream_set.upstreams:
+            owners[member.address] = f"{upstream_set.name}/{member.name}"
             known = current.get((service, member.name, member.address))
             number = known.number if known else next_number
             next_number += known is None
             kept[number] = _make_upstream(number, service, member, known)
-        verdicts.append(_approve("upstreamset", group.name))
+        verdicts.append(_approve("upstreamset", upstream_set.name))
     for upstream in draft.upstreams:
         if upstream.number in kept or upstream.number in inputs.drained:
             continue
-        if upstream.service in rejected and not upstream.removed:
+        if upstream.service in unchanged_services and not upstream.removed:
             kept[upstream.number] = upstream
         else:
             kept[upstream.number] = evolve(
@@ -207,13 +209,13 @@
     inputs: AcceptanceInputs, services: dict[str, int]
 ) -> set[int]:
     """Return services whose upstreams are kept because a set is invalid."""
-    rejected: set[int] = set()
+    unchanged_services: set[int] = set()
     for entry in inputs.invalid:
         if entry.kind != "upstreamset":
             continue
         number = services.get(entry.service)
-        rejected |= {number} if number else set(services.values())
-    return rejected
+        unchanged_services |= {number} if number else set(services.values())
+    return unchanged_services
 
 
 def _make_upstream(
@@ -232,14 +234,14 @@
 
 
 def _find_set_error(
-    group: UpstreamSet,
+    upstream_set: UpstreamSet,
     services: dict[str, int],
     present: set[str],
     owners: dict[str, str],
 ) -> str:
-    if group.service not in services or group.service not in present:
-        return f"service {group.service!r} does not exist"
-    for member in group.upstreams:
+    if upstream_set.service not in services or upstream_set.service not in present:
+        return f"service {upstream_set.service!r} does not exist"
+    for member in upstream_set.upstreams:
         if member.address in owners:
             return f"address {member.address} belongs to {owners[member.address]}"
     return ""
@@ -272,12 +274,12 @@
     undrained = {c.target for c in inputs.changes if c.action == Action.UNDRAIN}
     draining -= undrained
     draining |= inputs.leaving
-    live = {c.name for c in inputs.changes}
+    change_names = {c.name for c in inputs.changes}
     return evolve(
         draft,
         upstreams=tuple(_set_state(u, draining) for u in draft.upstreams),
         stopping_balancers=tuple(sorted(stopping)),
-        rotations=tuple(sorted(rotations & live)),
+        rotations=tuple(sorted(rotations & change_names)),
         key_epoch=epoch,
     )
 
--- a/shedsill/http3/_keys.py
+++ b/shedsill/http3/_keys.py
@@ -33,7 +33,7 @@
 
 CONNECTION_ID_LENGTH = 17
 BLOCK_LENGTH = 16
-KEY_SLOTS = 7
+KEY_SLOTS = 7  # three bits, of which QUIC-LB reserves the value 0b111
 LENGTH_MASK = 0x1F
 KEY_SLOT_SHIFT = 5
 SECRET_LENGTH = 32
--- a/shedsill/http3/_node.py
+++ b/shedsill/http3/_node.py
@@ -57,7 +57,7 @@
     ----------
     seed_addresses : tuple of Address
         Peers from the settings, to which heartbeats go before others are known.
-    beat : int
+    heartbeat_number : int
         Number of heartbeats sent.
     next_heartbeat_at : float
         Local time of the next heartbeat.
@@ -79,7 +79,7 @@
     configuration: Configuration = field(factory=Configuration)
     propagation: Propagation = field(factory=Propagation)
     membership: Membership = field(factory=Membership)
-    beat: int = 0
+    heartbeat_number: int = 0
     next_heartbeat_at: float = 0.0
     next_configuration_read_at: float = 0.0
     peers_live_since: float | None = None
@@ -88,7 +88,10 @@
 
 @frozen(kw_only=True)
 class HeartbeatPayload:
-    """What a heartbeat reports on its sender besides the membership."""
+    """Numbers and load of an agent, as its heartbeats report them.
+
+    A balancer's heartbeats contain the default values.
+    """
 
     service: int = 0
     upstream: int = 0
@@ -102,7 +105,7 @@
         address=node.address,
         balancer=node.balancer,
         incarnation=node.incarnation,
-        heartbeat_number=node.beat,
+        heartbeat_number=node.heartbeat_number,
         generation=node.configuration.generation,
         leaving=node.stopping,
     )
@@ -113,20 +116,20 @@
 ) -> Heartbeat:
     """Return a heartbeat with this node's report and reports on other nodes."""
     reports = choose_reports(node.membership, make_report(node), now, seed)
-    return _fill_heartbeat(node, payload, reports, probe=True)
+    return _build_heartbeat_frame(node, payload, reports, probe=True)
 
 
 def make_probe(node: Node, payload: HeartbeatPayload) -> Heartbeat:
     """Return a heartbeat with only this node's report, which requests an answer."""
-    return _fill_heartbeat(node, payload, (make_report(node),), probe=True)
+    return _build_heartbeat_frame(node, payload, (make_report(node),), probe=True)
 
 
 def make_probe_answer(node: Node, payload: HeartbeatPayload) -> Heartbeat:
     """Return the heartbeat that answers a peer's heartbeat or probe."""
-    return _fill_heartbeat(node, payload, (make_report(node),), probe=False)
+    return _build_heartbeat_frame(node, payload, (make_report(node),), probe=False)
 
 
-def _fill_heartbeat(
+def _build_heartbeat_frame(
     node: Node,
     payload: HeartbeatPayload,
     reports: tuple[NodeReport, ...],
@@ -163,7 +166,7 @@
     logs = _log_silent_members(node, now)
     node = evolve(
         node,
-        beat=node.beat + 1,
+        heartbeat_number=node.heartbeat_number + 1,
         next_heartbeat_at=now + HEARTBEAT_INTERVAL_SECONDS,
         membership=remove_silent_members(node.membership, now),
         peers_live_since=_find_peers_live_since(node, now),
--- a/shedsill/http3/_peers.py
+++ b/shedsill/http3/_peers.py
@@ -21,7 +21,7 @@
     Transfer,
 )
 
-MAX_MESSAGE_WORDS = 1 << 24
+MAX_MESSAGE_WORDS = 1 << 24  # Cap'n Proto words of 8 bytes
 
 
 @frozen(kw_only=True)
--- a/shedsill/http3/_routing.py
+++ b/shedsill/http3/_routing.py
@@ -270,7 +270,12 @@
 
 
 def list_agents_to_probe(
-    router: Router, configuration: Configuration, now: float, *, idle: float, beat: int
+    router: Router,
+    configuration: Configuration,
+    now: float,
+    *,
+    idle_seconds: float,
+    heartbeat_number: int,
 ) -> tuple[AcceptedUpstream, ...]:
     """Return the agents to probe: silent ones, and those idle for too long.
 
@@ -278,14 +283,18 @@
     grow with their total number.
     """
     upstreams = configuration.upstreams
-    start = beat * UPSTREAMS_CHECKED_PER_HEARTBEAT % max(len(upstreams), 1)
+    start = heartbeat_number * UPSTREAMS_CHECKED_PER_HEARTBEAT % max(len(upstreams), 1)
     window = upstreams[start : start + UPSTREAMS_CHECKED_PER_HEARTBEAT]
     if len(upstreams) <= UPSTREAMS_CHECKED_PER_HEARTBEAT:
         window = upstreams
     probed = []
     for upstream in window:
         agent = router.agents.get(upstream.number)
-        if agent is None or is_silent(agent, now) or now - agent.last_heard_at > idle:
+        if (
+            agent is None
+            or is_silent(agent, now)
+            or now - agent.last_heard_at > idle_seconds
+        ):
             probed.append(upstream)
     return tuple(probed)
 
