--- a/shedsill/datagram/_agent.py
+++ b/shedsill/datagram/_agent.py
@@ -1,9 +1,8 @@
-"""An agent of opaque flows: its start, messages, timers and planned stop.
+"""Agent of opaque flows: start, messages, timers and planned stop.
 
-The agent sees each packet of its upstream in both directions, and nothing
-reaches the upstream but through it.  So it is the authority on the flows that
-the upstream holds, on how busy it is, and on whether it takes new ones.  The
-state is changed in place, as the balancer's is.
+All packets from and to the upstream pass through its agent.  The agent is
+therefore the authority on the flows that the upstream holds, on its load, and on
+whether it takes new flows.  The state is changed in place, as the balancer's is.
 """
 
 from __future__ import annotations
@@ -35,31 +34,32 @@
 from shedsill.datagram._upstream import needs_check
 
 CLOSED_FLOW_SECONDS = 3.0
-"""Seconds for which a closed flow is kept, for packets that are sent again."""
+"""A closed flow is kept this long for retransmitted packets."""
 
 HALF_OPEN_TIMEOUT_SECONDS = 5.0
-"""Seconds after which a flow that its caller never opened here is forgotten;
-callers give an opening up after 1.4 s."""
+"""A flow that its caller never opened here is removed after this time; callers give
+up a SYN without an answer after 1.4 s."""
 
 MAX_TRIAL_FLOWS = 4096
-"""Flows whose trial packet the upstream has neither taken nor bounced; its own
-packets teach the agent all the same, only the balancer hears of it later."""
+"""Limit of flows whose trial packet the upstream has neither answered nor bounced.
+Beyond it the list is cleared: the upstream's packets still show that it holds such
+flows, but their balancers learn it later."""
 
 SWEEP_INTERVAL_SECONDS = 0.5
-"""Seconds between looks for flows to forget."""
+"""Time between searches for flows to remove."""
 
 
 def start_agent(state: AgentState, now: float) -> None:
-    """Begin; nothing is published before the upstream's first heartbeat.
+    """Set the start time; nothing is published before the upstream's first heartbeat.
 
-    A report of an earlier run of this agent may still be in the store and stays
-    good if the upstream lives.  A VM without an upstream is not made known.
+    A stored report of an earlier incarnation of this agent stays valid if the upstream
+    is alive.  A VM without an upstream is never announced.
     """
     state.started_at = state.average_updated_at = state.last_tick_at = now
 
 
 def handle_message(state: AgentState, event: MessageReceived) -> list[Effect]:
-    """Answer a balancer."""
+    """Handle a message of a balancer."""
     now = event.now
     state.balancers[event.source] = now
     match event.message:
@@ -67,13 +67,13 @@
             report = replace(state.report, load=build_load(state, now))
             return [SendMessage(event.source, Announcement(report=report))]
         case Locate(flows=flows):
-            return [SendMessage(event.source, _locate(state, flows, now))]
+            return [SendMessage(event.source, _locate_flows(state, flows, now))]
         case Roster() | Announcement():
             return []
     return []
 
 
-def _locate(state: AgentState, flows: list[bytes], now: float) -> Located:
+def _locate_flows(state: AgentState, flows: list[bytes], now: float) -> Located:
     located = Located(
         boot=state.report.boot,
         held=[],
@@ -95,16 +95,16 @@
 
 
 def handle_tick(state: AgentState, event: Tick) -> list[Effect]:
-    """Do what has become due."""
+    """Run the timers that are due."""
     now = event.now
     effects: list[Effect] = []
     pause = measure_pause(state.last_tick_at, now)
     state.last_tick_at = now
     if pause:
-        _discount_pause(state, pause, now)
+        _exclude_pause(state, pause, now)
     if now >= state.next_sweep_at:
         state.next_sweep_at = now + SWEEP_INTERVAL_SECONDS
-        effects += _sweep(state, now)
+        effects += _remove_idle_flows(state, now)
     effects += _slots.expire_requests(state, now)
     effects += repeat_announcement(state, now)
     if needs_check(state, now):
@@ -114,11 +114,11 @@
     return effects + _finish_stop(state, now)
 
 
-def _discount_pause(state: AgentState, pause: float, now: float) -> None:
-    """Take no caller, upstream or request for silent while this agent stood still.
+def _exclude_pause(state: AgentState, pause: float, now: float) -> None:
+    """Exclude a pause of this process from the silence of callers and the upstream.
 
-    Times are moved on by the pause, but not beyond now: some may be of packets that
-    were read since.
+    Times are moved forward by the pause, but not beyond now: some may be those of
+    packets that were read since.
     """
     state.heartbeat_silence_started_at = min(
         state.heartbeat_silence_started_at + pause, now
@@ -130,15 +130,15 @@
         flow.request_sent_at = min(flow.request_sent_at + pause, now)
 
 
-def _sweep(state: AgentState, now: float) -> list[Effect]:
-    """Forget flows that have rested for too long."""
+def _remove_idle_flows(state: AgentState, now: float) -> list[Effect]:
+    """Remove flows that were idle for too long, and balancers that are silent."""
     effects: list[Effect] = []
     for key, flow in list(state.flows.items()):
-        rest = now - flow.last_packet_at
+        idle = now - flow.last_packet_at
         limit = HALF_OPEN_TIMEOUT_SECONDS if flow.phase == Phase.HALF_OPEN else None
         if flow.closed:
             limit = CLOSED_FLOW_SECONDS
-        if rest > (limit or state.flow_lifetime):
+        if idle > (limit or state.flow_lifetime):
             effects += _slots.drop_request(state, key, now)
             del state.flows[key]
     for host, at in list(state.balancers.items()):
@@ -152,19 +152,20 @@
 
 
 def handle_stop(state: AgentState, event: StopRequested) -> list[Effect]:
-    """Begin a planned stop: no new flows, and end when no request is waiting.
+    """Begin a planned stop: refuse new flows, then exit when no request is unanswered.
 
-    Before the first heartbeat there is no upstream to speak for, and nothing of
-    this run has been published.
+    The exit is delayed by `stop_limit` at most.
+    Before the first heartbeat nothing is published, as this incarnation has announced
+    no upstream yet.
     """
     if state.stop_at is not None:
         return []
     state.stop_at = event.now + state.stop_limit
     state.report = replace(state.report, stopping=True)
-    note = WriteLog(event=LogEvent.NODE_STOPPING, fields={"flows": len(state.flows)})
+    log_entry = WriteLog(event=LogEvent.NODE_STOPPING, fields={"flows": len(state.flows)})
     if not state.report.boot:
-        return [note]
-    return [note, *publish_report(state, event.now)]
+        return [log_entry]
+    return [log_entry, *publish_report(state, event.now)]
 
 
 def _finish_stop(state: AgentState, now: float) -> list[Effect]:
--- a/shedsill/datagram/_agent_packets.py
+++ b/shedsill/datagram/_agent_packets.py
@@ -1,4 +1,4 @@
-"""An agent's decisions on single packets, in both directions."""
+"""Handling of single packets by an agent, in both directions."""
 
 from __future__ import annotations
 
@@ -42,11 +42,11 @@
 from shedsill.datagram._selection import REFUSAL_BACKOFF_SECONDS, hash_service
 
 MAX_FLOWS = 50_000
-"""Flows remembered; far above the connections that one upstream may have."""
+"""Limit of the flows in an agent's state; far above an upstream's connection limit."""
 
 
 def handle_forwarded_packet(state: AgentState, event: ForwardedPacket) -> list[Effect]:
-    """Decide whether the upstream gets a packet."""
+    """Handle a caller's packet: send it to the upstream, queue it or return it."""
     packet, now = event.packet, event.now
     state.balancers[event.balancer] = now
     if event.service != hash_service(state.report.service):
@@ -54,18 +54,19 @@
             state, packet, event.balancer, ReturnReason.WRONG_SERVICE, now
         )
     if is_syn(packet):
-        return _take_opening(state, packet, event.balancer, now)
+        return _handle_syn(state, packet, event.balancer, now)
     flow = state.flows.get(packet.flow)
     if flow is None:
-        return _take_unknown(state, packet, event.balancer, now)
-    unchosen = flow.initial_seq is not None and not is_ack_in_window(
+        return _handle_unknown_flow(state, packet, event.balancer, now)
+    not_acknowledged = flow.initial_seq is not None and not is_ack_in_window(
         packet, flow.initial_seq
     )
-    if flow.phase == Phase.HALF_OPEN and unchosen:
+    if flow.phase == Phase.HALF_OPEN and not_acknowledged:
         del state.flows[packet.flow]
         return return_packet(state, packet, event.balancer, ReturnReason.NOT_HELD, now)
     if flow.initial_seq is not None:
-        # Before its upstream has answered, the caller may have chosen another one.
+        # Until the upstream has answered, the caller may have accepted the answer of
+        # another one.
         flow.phase = Phase.OPEN
     flow.last_packet_at = now
     flow.balancer = event.balancer
@@ -81,7 +82,7 @@
     return [SendToUpstream(packet, event.balancer)]
 
 
-def _take_opening(
+def _handle_syn(
     state: AgentState, packet: Packet, balancer: str, now: float
 ) -> list[Effect]:
     if not can_accept_flows(state) or now < state.refused_until:
@@ -107,10 +108,10 @@
     return [SendToUpstream(packet, balancer)]
 
 
-def _take_unknown(
+def _handle_unknown_flow(
     state: AgentState, packet: Packet, balancer: str, now: float
 ) -> list[Effect]:
-    """Hand a packet back, or let the upstream tell whether it holds the flow."""
+    """Return a packet, or send it to the upstream, which bounces it if needed."""
     if state.knows_all_flows or state.report.state == UpstreamState.GONE:
         return return_packet(state, packet, balancer, ReturnReason.NOT_HELD, now)
     if len(state.trial_flows) < MAX_FLOWS:
@@ -120,24 +121,24 @@
 
 
 def handle_upstream_packet(state: AgentState, event: UpstreamPacket) -> list[Effect]:
-    """Pass a packet on to its caller, and learn from it."""
+    """Send an upstream's packet to its caller and update the flow."""
     packet, now = event.packet, event.now
     state.unanswered_since = None
     effects: list[Effect] = []
     if state.report.state == UpstreamState.UNRESPONSIVE:
         effects += update_upstream_state(state, UpstreamState.READY, now)
     if packet.flags & BOUNCED:
-        return effects + _take_bounced(state, packet, now)
+        return effects + _handle_bounced_packet(state, packet, now)
     flow = state.flows.get(packet.flow)
     if packet.flags & SYN:
-        effects += _take_opening_answer(state, flow, packet, now)
+        effects += _handle_syn_ack(state, flow, packet, now)
     else:
-        effects += _take_content(state, flow, packet, now)
+        effects += _handle_established_packet(state, flow, packet, now)
     effects.append(SendToCaller(packet))
     return effects
 
 
-def _take_opening_answer(
+def _handle_syn_ack(
     state: AgentState, flow: AgentFlow | None, packet: Packet, now: float
 ) -> list[Effect]:
     if flow is None or flow.phase == Phase.OPEN:
@@ -160,7 +161,7 @@
     ]
 
 
-def _take_content(
+def _handle_established_packet(
     state: AgentState, flow: AgentFlow | None, packet: Packet, now: float
 ) -> list[Effect]:
     effects: list[Effect] = []
@@ -173,29 +174,29 @@
         )
         state.flows[packet.flow] = flow
         flow.caller_next_seq = packet.ack
-        effects += _report_found(state, packet.flow, now)
+        effects += _report_recovered_flow(state, packet.flow, now)
     flow.phase = Phase.OPEN
     flow.last_packet_at = now
-    # The FIN of a flow of one request often comes before its answer.  Where the
-    # caller has closed, it only closes the other end.
-    overtaking = packet.flags & FIN and flow.running and not flow.closed
+    # A flow of one request is closed with its answer, and the FIN often arrives
+    # first.  After the caller's FIN it is no answer but closes the other end.
+    fin_before_answer = packet.flags & FIN and flow.running and not flow.closed
     if packet.flags & (FIN | RST):
         flow.closed = True
     effects += _slots.handle_acknowledgement(state, flow, packet, now)
-    if packet.length or overtaking:
+    if packet.length or fin_before_answer:
         effects += _slots.finish_request(state, packet.flow, flow, now, answered=True)
     elif packet.flags & (FIN | RST):
         effects += _slots.drop_request(state, packet.flow, now)
     return effects
 
 
-def _report_found(state: AgentState, key: bytes, now: float) -> list[Effect]:
-    """Tell a balancer that the upstream holds the flow that it asked for."""
+def _report_recovered_flow(state: AgentState, key: bytes, now: float) -> list[Effect]:
+    """Tell a balancer that the upstream holds a flow that was unknown here."""
     balancer = state.trial_flows.pop(key, "")
     fields = {"flow": key, "balancer": balancer, "boot": state.report.boot}
-    note = WriteLog(event=LogEvent.FLOW_RELEARNED, fields=fields)
+    log_entry = WriteLog(event=LogEvent.FLOW_RELEARNED, fields=fields)
     if not balancer:
-        return [note]
+        return [log_entry]
     located = Located(
         boot=state.report.boot,
         held=[key],
@@ -203,31 +204,33 @@
         unsure=[],
         load=build_load(state, now),
     )
-    return [note, SendMessage(balancer, located)]
+    return [log_entry, SendMessage(balancer, located)]
 
 
-def _was_held(flow: AgentFlow) -> bool:
-    """Whether the upstream has held a flow that its caller opened there."""
+def _was_open(flow: AgentFlow) -> bool:
+    """Whether the flow was open at the upstream."""
     return flow.phase == Phase.OPEN and flow.taken_at is not None
 
 
-def _take_bounced(state: AgentState, packet: Packet, now: float) -> list[Effect]:
-    """Hand back what the upstream did not take; it holds no such flow.
+def _handle_bounced_packet(
+    state: AgentState, packet: Packet, now: float
+) -> list[Effect]:
+    """Return a packet that the upstream bounced because it holds no such flow.
 
-    If the upstream held the flow before, no other one can: its caller is told.
+    If the upstream held the flow before, no other one can hold it: the flow is reset.
     """
     state.trial_flows.pop(packet.flow, None)
     flow = state.flows.get(packet.flow)
     effects = _slots.drop_request(state, packet.flow, now)
     state.flows.pop(packet.flow, None)
-    opening = is_syn(packet)
-    if flow is not None and not opening and _was_held(flow):
+    bounced_syn = is_syn(packet)
+    if flow is not None and not bounced_syn and _was_open(flow):
         fields = {"flows": 1, "reason": "bounced", "boot": state.report.boot}
-        note = WriteLog(event=LogEvent.FLOWS_FREED, fields=fields)
-        return [*effects, ResetFlow(packet.flow, flow.caller_ack), note]
-    if opening:
+        log_entry = WriteLog(event=LogEvent.FLOWS_FREED, fields=fields)
+        return [*effects, ResetFlow(packet.flow, flow.caller_ack), log_entry]
+    if bounced_syn:
         state.refused_until = now + REFUSAL_BACKOFF_SECONDS
-    reason = ReturnReason.REFUSED if opening else ReturnReason.NOT_HELD
+    reason = ReturnReason.REFUSED if bounced_syn else ReturnReason.NOT_HELD
     balancer = packet.balancer or (flow.balancer if flow else "")
     if not balancer:
         return effects
--- a/shedsill/datagram/_agent_state.py
+++ b/shedsill/datagram/_agent_state.py
@@ -1,4 +1,4 @@
-"""What an agent keeps, and what it tells others of it."""
+"""State of an agent and the announcements of its report."""
 
 from __future__ import annotations
 
@@ -24,51 +24,49 @@
 from shedsill.datagram._packet import RST, Packet, is_syn
 
 AVERAGE_BUSY_SECONDS = 1.0
-"""Time constant, in seconds, of the average of busy requests."""
+"""Time constant of the moving average of unanswered requests."""
 
 RECENT_BALANCER_SECONDS = 10.0
-"""Seconds for which a balancer that was heard of gets news directly."""
-
+"""A balancer gets announcements for this long after its last packet or message."""
 
 ANNOUNCEMENT_REPEATS_SECONDS = (0.3, 0.9, 2.1, 4.5)
-"""Seconds after an agent's first news of itself at which it is told again, unless a
-balancer has spoken since.  Its datagrams may be lost, and a store that turns the agent
-away cannot tell of it."""
+"""Delays after an agent's first announcement at which it is repeated, until a balancer
+sends a packet or message: datagrams may be lost, and the store may be unavailable."""
 
 
 class Phase(enum.Enum):
-    """How far a flow has come at this upstream."""
+    """State of a flow at this upstream."""
 
     HALF_OPEN = "half open"
     OPEN = "open"
 
 
 class AgentFlow(Struct):
-    """A flow that this upstream holds, or was offered.
+    """A flow that this upstream holds or was offered.
 
     Attributes
     ----------
     initial_seq : int or None
-        The upstream's first sequence number; None until it has answered.
+        The upstream's initial sequence number; None until it has answered.
     taken_at : float or None
-        When the upstream was first seen to hold it.
+        When the upstream first answered on the flow.
     caller_ack : int
-        What the caller expects next.
+        Sequence number that the caller expects next.
     caller_next_seq : int or None
-        End of the caller's content that has been passed on.
+        Sequence number after the caller's content that was sent to the upstream.
     pending : bool
-        Whether a request has come and no answer has begun.
+        Whether a request has arrived whose answer has not begun.
     running : bool
-        Whether the upstream was given that request.
+        Whether that request was sent to the upstream.
     last_request_packet : Packet or None
-        The last packet of that request, while it is at work.
+        The last packet of the running request.
     closed : bool
-        Whether one end has closed it.
+        Whether one end has closed the flow.
     syn_copy_delay : float
-        Seconds by which the caller asked before the next request came: its first
-        opening packets were lost.
+        Seconds between the caller's first SYN and the one that arrived; added to
+        the age of the flow's first request.
     balancer : str
-        Where the last packet came from.
+        Host of the balancer that sent the last packet.
     """
 
     phase: Phase
@@ -88,49 +86,53 @@
 
 
 class AgentState(Struct):
-    """Everything that an agent knows.
+    """State of an agent.
 
     Attributes
     ----------
     report : NodeReport
-        What it says of itself and of its upstream.
+        The agent's report of itself and of its upstream.
     knows_all_flows : bool
-        Whether `flows` has every flow of the upstream: false while some may be
-        left from before the agent's start.
+        Whether `flows` has every flow of the upstream; false while flows from
+        before the agent's start may remain.
     balancers : dict of str to float
-        When each balancer was last heard of.
+        When the last packet or message of each balancer arrived.
     busy : int
-        Requests that have come and are not answered.
+        Requests that have arrived and are not answered.
     running : int
-        Those of them that the upstream was given.
+        Busy requests that were sent to the upstream.
     backlog : Backlog
-        The others.
+        Busy requests that are queued.
     earlier_boot : str
-        The upstream's run as an earlier run of this agent knew it; empty where
-        that is not known.
+        The upstream's boot in the stored report of an earlier incarnation of this
+        agent; empty if unknown.
     health : Health
-        What the upstream's own answers say of it.
+        Health of the upstream, estimated from its answers.
     first_announced_at : float or None
-        When this agent first told of itself, and
+        When this agent first announced its report.
     announcement_repeats : int
-        how often it has told again.
+        How often that announcement was repeated.
     ended_boots : set of str
-        Runs of the upstream that have ended.
+        Boots of the upstream that have ended.
     heartbeat_serial : int
-        Serial of the current run's last heartbeat, and
+        Serial of the current boot's last heartbeat.
     last_heartbeat_at : float
-        when it came.
+        When it arrived.
     heartbeat_silence_started_at : float
-        The same, moved on by the time for which this agent stood still since.
+        `last_heartbeat_at` plus the time for which this process did not run since.
     first_heartbeat_received : bool
-        Whether the current run was known from its first heartbeat on.
+        Whether the current boot's first heartbeat was received.
     cold_until : float
-        Local time at which the upstream works at full speed.
+        When the upstream reaches its full speed after its start.
+    refused_until : float
+        Until when new flows are returned, after the upstream has refused one.
     unanswered_since : float or None
-        When the first packet was passed on since the upstream's last one.
+        When the first packet since the upstream's last one was sent to it.
     trial_flows : dict of bytes to str
-        Packets of unknown flows that were given to the upstream, with the
-        balancer that sent each.
+        Unknown flows of which a packet was sent to the upstream, with the balancer
+        that forwarded each.
+    upstream_leaving : bool
+        Whether the upstream has announced the end of its current boot.
     """
 
     report: NodeReport
@@ -170,15 +172,15 @@
 def can_accept_flows(state: AgentState) -> bool:
     """Whether the upstream may be offered new flows.
 
-    Before its first heartbeat it may: only this agent could have confirmed
-    that it drains, and a balancer that learned of it offers it nothing.
+    It may be before its first heartbeat: only this agent could have confirmed that it
+    is draining, and balancers that know of it offer it no flows.
     """
     known = state.report.state in (UpstreamState.READY, UpstreamState.UNKNOWN)
     return known and state.stop_at is None
 
 
 def build_load(state: AgentState, now: float) -> Load:
-    """Return how full the upstream is now."""
+    """Return the upstream's current load."""
     update_average_busy(state, now)
     return Load(
         busy=state.busy,
@@ -191,20 +193,20 @@
 
 
 def update_average_busy(state: AgentState, now: float) -> None:
-    """Bring the average of busy requests up to now."""
+    """Update the moving average of busy requests."""
     share = min((now - state.average_updated_at) / AVERAGE_BUSY_SECONDS, 1.0)
     state.average_busy += (state.busy - state.average_busy) * share
     state.average_updated_at = now
 
 
 def update_busy(state: AgentState, change: int, now: float) -> None:
-    """Count requests that came or ended."""
+    """Add `change` to the number of busy requests."""
     update_average_busy(state, now)
     state.busy = max(state.busy + change, 0)
 
 
 def record_sent_packet(state: AgentState, now: float) -> None:
-    """Note that the upstream owes a packet."""
+    """Record that a packet was sent to the upstream, which is expected to answer."""
     if state.unanswered_since is None:
         state.unanswered_since = now
 
@@ -216,7 +218,7 @@
     reason: ReturnReason,
     now: float,
 ) -> list[Effect]:
-    """Hand a packet back to its balancer."""
+    """Return a SYN to its balancer, or tell it that the packet's flow is denied."""
     if packet.flags & RST:
         return []
     load = build_load(state, now)
@@ -244,7 +246,7 @@
 def update_upstream_state(
     state: AgentState, upstream: UpstreamState, now: float
 ) -> list[Effect]:
-    """Note that the upstream takes new flows or no longer does."""
+    """Set the state of the upstream and publish the report if it changed."""
     if state.report.state == upstream:
         return []
     state.report = replace(state.report, state=upstream)
@@ -252,7 +254,7 @@
 
 
 def publish_report(state: AgentState, now: float) -> list[Effect]:
-    """Tell the balancers and the store what has changed."""
+    """Send the changed report to the balancers and the store."""
     state.report = replace(
         state.report, serial=state.report.serial + 1, load=build_load(state, now)
     )
@@ -274,7 +276,7 @@
 
 
 def announce_report(state: AgentState, now: float) -> list[Effect]:
-    """Tell the balancers, but not the store, how the upstream is now."""
+    """Send the report with the current load to the balancers, but not to the store."""
     report = replace(state.report, load=build_load(state, now))
     announcement = Announcement(report=report)
     return [
@@ -283,7 +285,7 @@
 
 
 def repeat_announcement(state: AgentState, now: float) -> list[Effect]:
-    """Tell again of this agent while no balancer has shown that it knows it."""
+    """Repeat the first announcement until a balancer sends a packet or message."""
     if state.first_announced_at is None or state.announcement_repeats >= len(
         ANNOUNCEMENT_REPEATS_SECONDS
     ):
@@ -301,7 +303,7 @@
 
 
 def list_active_balancers(state: AgentState, now: float) -> list[str]:
-    """Return the balancers that get news directly."""
+    """Return the hosts of balancers to which reports are announced."""
     recent = [
         h for h, at in state.balancers.items() if now - at < RECENT_BALANCER_SECONDS
     ]
--- a/shedsill/datagram/_slots.py
+++ b/shedsill/datagram/_slots.py
@@ -1,14 +1,13 @@
-"""How many requests the upstream is given at once, and the holding of the others.
+"""Concurrency limit of the upstream: sends it requests up to its slots, queues others.
 
-An upstream works on a few requests at once and queues the rest first come,
-first served.  Once that queue is longer than callers want to wait, every request
-in it is late, the ones that have just come too.  So the agent holds requests
-back while the slots are taken, and gives the upstream one when a slot is free;
-which one is decided by `shedsill.datagram._backlog`.
+An upstream runs as many requests as it has slots and queues the rest first in, first
+out.  Once that queue takes longer than callers wait, all requests in it are late, new
+ones included.  The agent therefore queues requests itself while all slots are taken.
+`shedsill.datagram._backlog` chooses the one that gets a free slot.
 
-Only the first content of a request is held.  The rest of a flow is never
-reordered, and nothing is held on routes with large bodies, which take a slot
-only once the whole body has come.
+Only the first content of a request is queued; other packets of a flow are never
+reordered.  Nothing is queued on routes with large bodies, as such a request takes a
+slot only once its whole body has arrived.
 """
 
 from __future__ import annotations
@@ -37,63 +36,63 @@
 from shedsill.datagram._selection import DEFAULT_SLOTS
 
 CALLER_SILENCE_SECONDS = 3.5
-"""Seconds without a packet of its caller after which a held request is dropped:
-callers send again after 1.6 s at most, so two sendings are missing."""
+"""Time without a packet of its caller after which a queued request is dropped; callers
+retransmit after 1.6 s at most, so that two packets are missing by then."""
 
 ANSWER_TIMEOUT_SECONDS = 4.0
-"""Seconds after which a request that the upstream was given no longer counts: the
-upstream has dropped it."""
+"""Time after which a running request no longer takes a slot: the upstream has dropped
+it."""
 
 
 def handle_request_packet(
     state: AgentState, flow: AgentFlow, packet: Packet, now: float
 ) -> list[Effect]:
-    """Give the upstream a packet with content, or hold it back."""
-    held = state.backlog.requests.get(packet.flow)
-    if held is not None:
-        if all(packet.seq != known.seq for known in held.packets):
-            held.packets.append(packet)
+    """Send a packet with content to the upstream, or queue its request."""
+    queued = state.backlog.requests.get(packet.flow)
+    if queued is not None:
+        if all(packet.seq != known.seq for known in queued.packets):
+            queued.packets.append(packet)
         return []
-    if _is_new(flow, packet) and not flow.pending:
+    if _has_new_content(flow, packet) and not flow.pending:
         flow.pending = True
         flow.request_received_at = now
         update_busy(state, 1, now)
-        asked, flow.syn_copy_delay = now - flow.syn_copy_delay, 0.0
+        requested_at, flow.syn_copy_delay = now - flow.syn_copy_delay, 0.0
         timeout = packet.timeout or math.inf
         if not packet.bulk and _is_full(state):
             request = QueuedRequest(
                 packets=[packet],
                 queued_at=now,
-                requested_at=asked,
+                requested_at=requested_at,
                 urgency=packet.urgency,
-                objective_at=asked + (packet.objective or timeout),
-                deadline_at=asked + timeout,
+                objective_at=requested_at + (packet.objective or timeout),
+                deadline_at=requested_at + timeout,
             )
             _backlog.add_request(state.backlog, packet.flow, request)
-            return [_note_held(state, packet)]
-        _begin_work(state, flow, now)
-    _note_passed(flow, packet)
+            return [_log_queued(state, packet)]
+        _start_request(state, flow, now)
+    _record_sent_content(flow, packet)
     record_sent_packet(state, now)
     return [SendToUpstream(packet, flow.balancer)]
 
 
-def _begin_work(state: AgentState, flow: AgentFlow, now: float) -> None:
+def _start_request(state: AgentState, flow: AgentFlow, now: float) -> None:
     flow.running = True
     flow.request_sent_at = now
     state.running += 1
 
 
-def _is_new(flow: AgentFlow, packet: Packet) -> bool:
-    """Whether a packet has content that was not passed on before."""
+def _has_new_content(flow: AgentFlow, packet: Packet) -> bool:
+    """Whether a packet has content that was not sent to the upstream before."""
     if flow.caller_next_seq is None:
         return True
     advance = measure_advance(packet.seq + packet.length, flow.caller_next_seq)
     return 0 < advance <= SEQUENCE_SPACE // 2
 
 
-def _note_passed(flow: AgentFlow, packet: Packet) -> None:
+def _record_sent_content(flow: AgentFlow, packet: Packet) -> None:
     flow.last_request_packet = packet
-    if _is_new(flow, packet):
+    if _has_new_content(flow, packet):
         flow.caller_next_seq = (packet.seq + packet.length) % SEQUENCE_SPACE
 
 
@@ -105,7 +104,7 @@
     return state.running >= _count_slots(state)
 
 
-def _note_held(state: AgentState, packet: Packet) -> WriteLog:
+def _log_queued(state: AgentState, packet: Packet) -> WriteLog:
     fields = {
         "flow": packet.flow,
         "working": state.running,
@@ -118,15 +117,15 @@
 def handle_acknowledgement(
     state: AgentState, flow: AgentFlow, packet: Packet, now: float
 ) -> list[Effect]:
-    """Drop a held request that the upstream has received in another way.
+    """Drop a queued request that the upstream acknowledges.
 
-    After a restart of the agent, a first copy of it may have been given to the
-    upstream before the flow was known.
+    After a restart of the agent, a copy of it may have been sent to the upstream while
+    the flow was unknown.
     """
-    held = state.backlog.requests.get(packet.flow)
-    if held is None:
+    queued = state.backlog.requests.get(packet.flow)
+    if queued is None:
         return []
-    last = held.packets[-1]
+    last = queued.packets[-1]
     end = (last.seq + last.length) % SEQUENCE_SPACE
     if measure_advance(packet.ack, end) > SEQUENCE_SPACE // 2:
         return []
@@ -135,16 +134,16 @@
 
 
 def record_caller_close(state: AgentState, key: bytes) -> None:
-    """Note that a caller has closed its end while its request is held."""
-    held = state.backlog.requests.get(key)
-    if held is not None:
-        held.caller_closed = True
+    """Record that a caller has closed its end while its request is queued."""
+    queued = state.backlog.requests.get(key)
+    if queued is not None:
+        queued.caller_closed = True
 
 
 def finish_request(
     state: AgentState, key: bytes, flow: AgentFlow, now: float, *, answered: bool
 ) -> list[Effect]:
-    """Note that a request has its answer or has ended; pass on the next one."""
+    """Record that a request was answered or has ended, and fill its slot."""
     if not flow.pending or (answered and not flow.running):
         return []
     flow.pending = False
@@ -152,22 +151,22 @@
     update_busy(state, -1, now)
     effects: list[Effect] = []
     if answered:
-        effects += _note_answered(state, key, flow, now)
+        effects += _record_request_answered(state, key, flow, now)
     if flow.running:
         flow.running = False
         state.running -= 1
-        effects += _pass_next(state, now)
+        effects += _fill_free_slots(state, now)
     return effects
 
 
-def _note_answered(
+def _record_request_answered(
     state: AgentState, key: bytes, flow: AgentFlow, now: float
 ) -> list[Effect]:
     seconds = now - flow.request_received_at
     effects: list[Effect] = [ObserveLatency(seconds)]
     cold = flow.request_sent_at < state.cold_until
     if record_answer(state.health, now - flow.request_sent_at, now, cold=cold):
-        effects += _note_failing(state, now)
+        effects += _report_quick_failures(state, now)
     fields = {
         "flow": key,
         "took_ms": round(seconds * 1000),
@@ -177,39 +176,39 @@
     return [*effects, WriteLog(event=LogEvent.REQUEST_ANSWERED, fields=fields)]
 
 
-def _note_failing(state: AgentState, now: float) -> list[Effect]:
+def _report_quick_failures(state: AgentState, now: float) -> list[Effect]:
     fields = {
         "usual_ms": round(state.health.warm.seconds * 1000),
         "pause": state.health.avoidance_seconds,
     }
-    note = WriteLog(event=LogEvent.UPSTREAM_FAILING, fields=fields)
-    return [note, *announce_report(state, now)]
+    log_entry = WriteLog(event=LogEvent.UPSTREAM_FAILING, fields=fields)
+    return [log_entry, *announce_report(state, now)]
 
 
-def _pass_next(state: AgentState, now: float) -> list[Effect]:
+def _fill_free_slots(state: AgentState, now: float) -> list[Effect]:
     effects: list[Effect] = []
     while state.backlog.requests and not _is_full(state):
-        flow = _backlog.choose_next_request(state.backlog, _forecast(state, now))
-        effects += _pass_on(state, flow, now)
+        flow = _backlog.choose_next_request(state.backlog, _build_forecast(state, now))
+        effects += _send_queued_request(state, flow, now)
     return effects
 
 
-def can_answer_in_time(state: AgentState, opening: Packet, now: float) -> bool:
+def can_answer_in_time(state: AgentState, syn: Packet, now: float) -> bool:
     """Whether a request on a new flow can be answered before its caller gives up.
 
-    All requests that wait are counted before it: if it went first, another one of
-    them would be lost.  Its caller is better told at once, while nothing has run,
-    than left to wait until it gives up.
+    All queued requests count as before it: if it went first, another one would miss its
+    deadline.  Refusing a flow at once, before its request has run, lets the caller
+    retry safely.
     """
-    if not opening.timeout:
+    if not syn.timeout:
         return True
-    forecast = _forecast(state, now)
+    forecast = _build_forecast(state, now)
     start = forecast.estimate_start(_backlog.count_open_requests(state.backlog))
-    deadline = now - get_syn_copy_delay(opening) + opening.timeout
+    deadline = now - get_syn_copy_delay(syn) + syn.timeout
     return forecast.estimate_end(start) <= deadline
 
 
-def _forecast(state: AgentState, now: float) -> Forecast:
+def _build_forecast(state: AgentState, now: float) -> Forecast:
     return Forecast(
         now=now,
         slots=_count_slots(state),
@@ -219,31 +218,31 @@
     )
 
 
-def _pass_on(state: AgentState, key: bytes, now: float) -> list[Effect]:
-    held = state.backlog.requests.pop(key)
+def _send_queued_request(state: AgentState, key: bytes, now: float) -> list[Effect]:
+    queued = state.backlog.requests.pop(key)
     flow = state.flows.get(key)
     if flow is None:
         return []
-    _begin_work(state, flow, now)
-    for packet in held.packets:
-        _note_passed(flow, packet)
+    _start_request(state, flow, now)
+    for packet in queued.packets:
+        _record_sent_content(flow, packet)
     record_sent_packet(state, now)
     fields = {
         "flow": key,
-        "held_ms": round((now - held.queued_at) * 1000),
-        "late": now > held.objective_at,
-        "tried_before": held.may_be_retry,
-        "closed": held.caller_closed,
+        "held_ms": round((now - queued.queued_at) * 1000),
+        "late": now > queued.objective_at,
+        "tried_before": queued.may_be_retry,
+        "closed": queued.caller_closed,
         "left": len(state.backlog.requests),
     }
     return [
-        *(SendToUpstream(packet, flow.balancer) for packet in held.packets),
+        *(SendToUpstream(packet, flow.balancer) for packet in queued.packets),
         WriteLog(event=LogEvent.REQUEST_PASSED_ON, fields=fields),
     ]
 
 
 def drop_request(state: AgentState, key: bytes, now: float) -> list[Effect]:
-    """Forget the request of a flow that has ended."""
+    """Drop the request of a flow that has ended."""
     state.backlog.requests.pop(key, None)
     flow = state.flows.get(key)
     if flow is None:
@@ -252,12 +251,12 @@
 
 
 def expire_requests(state: AgentState, now: float) -> list[Effect]:
-    """Drop requests that nobody waits for; forget those that are never answered."""
+    """Drop queued requests of silent callers, and time out running ones."""
     effects: list[Effect] = []
-    for key, held in list(state.backlog.requests.items()):
+    for key, queued in list(state.backlog.requests.items()):
         flow = state.flows.get(key)
         if flow is None or now - flow.last_packet_at > CALLER_SILENCE_SECONDS:
-            fields = {"flow": key, "held_ms": round((now - held.queued_at) * 1000)}
+            fields = {"flow": key, "held_ms": round((now - queued.queued_at) * 1000)}
             effects.append(WriteLog(event=LogEvent.REQUEST_ABANDONED, fields=fields))
             effects += drop_request(state, key, now)
     for key, flow in state.flows.items():
@@ -267,10 +266,12 @@
 
 
 def drop_orphaned_requests(state: AgentState, now: float) -> list[Effect]:
-    """Forget the requests of flows that are no longer known; fill their slots."""
-    held = state.backlog.requests
-    state.backlog.requests = {key: held[key] for key in held if key in state.flows}
+    """Drop the requests of flows that were removed, and fill free slots."""
+    requests = state.backlog.requests
+    state.backlog.requests = {
+        key: requests[key] for key in requests if key in state.flows
+    }
     state.running = sum(flow.running for flow in state.flows.values())
-    waiting = sum(flow.pending for flow in state.flows.values())
-    update_busy(state, waiting - state.busy, now)
-    return _pass_next(state, now)
+    pending = sum(flow.pending for flow in state.flows.values())
+    update_busy(state, pending - state.busy, now)
+    return _fill_free_slots(state, now)
--- a/shedsill/datagram/_upstream.py
+++ b/shedsill/datagram/_upstream.py
@@ -1,4 +1,4 @@
-"""How an agent follows the life of its upstream: heartbeats, silence, restarts."""
+"""Tracking of an agent's upstream: heartbeats, restarts and failure detection."""
 
 from __future__ import annotations
 
@@ -33,27 +33,27 @@
 from shedsill.datagram._messages import UpstreamState
 
 FIRST_SERIAL = 1
-"""Number of the first heartbeat of an upstream's run."""
+"""Serial of the first heartbeat of an upstream's boot."""
 
 BOOT_SILENCE_SECONDS = 3.0
-"""Seconds without a heartbeat of the run that is known before a later heartbeat of
-another run is believed: two heartbeats of 1.2 s and half of one have stayed out."""
+"""Time without a heartbeat of the current boot after which a later heartbeat of another
+boot is accepted: two and a half intervals of 1.2 s."""
 
 UNANSWERED_LIMIT_SECONDS = 0.4
-"""Seconds without any packet of the upstream, while it owes one, after which
-its port is tried.  It acknowledges within milliseconds, and callers send again
-after 0.2 s, so two sendings have gone unanswered by then."""
+"""Time without any answer of the upstream after which its port is checked.  It
+acknowledges within milliseconds, and callers retransmit after 0.2 s, so that two
+packets are unanswered by then."""
 
 CHECK_INTERVAL_SECONDS = 0.4
-"""Seconds between tries of the port of an upstream that does not answer."""
+"""Time between checks of the port of an upstream that does not answer."""
 
 
 def handle_heartbeat(state: AgentState, event: HeartbeatReceived) -> list[Effect]:
-    """Take in what the upstream says of itself."""
+    """Update the upstream's report by its heartbeat."""
     heartbeat, now = event.heartbeat, event.now
     report = state.report
     if heartbeat.boot in state.ended_boots or _is_outdated(state, heartbeat, now):
-        return [_note_outdated(state, heartbeat)]
+        return [_log_outdated(state, heartbeat)]
     effects: list[Effect] = []
     if heartbeat.boot != report.boot:
         effects += _change_boot(state, heartbeat, now)
@@ -81,10 +81,10 @@
 
 
 def _is_outdated(state: AgentState, heartbeat: Heartbeat, now: float) -> bool:
-    """Whether a heartbeat of another run may be one that was held up on its way.
+    """Whether a heartbeat may be a delayed one of a boot that has ended.
 
-    A run makes itself known with its first heartbeat.  A later one, while the known
-    run is alive, is of a run that has ended before.
+    A new boot is accepted with its first heartbeat.  A later heartbeat of another boot,
+    while the current one is alive, must be of an earlier boot.
     """
     report = state.report
     if report.boot in ("", heartbeat.boot) or heartbeat.serial == FIRST_SERIAL:
@@ -93,7 +93,7 @@
     return alive and now - state.heartbeat_silence_started_at < BOOT_SILENCE_SECONDS
 
 
-def _note_outdated(state: AgentState, heartbeat: Heartbeat) -> WriteLog:
+def _log_outdated(state: AgentState, heartbeat: Heartbeat) -> WriteLog:
     fields = {
         "boot": heartbeat.boot,
         "serial": heartbeat.serial,
@@ -103,12 +103,12 @@
 
 
 def _change_boot(state: AgentState, heartbeat: Heartbeat, now: float) -> list[Effect]:
-    """Follow the upstream into a new run; the flows of the last one are gone.
+    """Switch to a new boot of the upstream and reset the flows of the previous one.
 
-    The first heartbeat of a run shows that the run began under this agent, so
-    that it holds no flow from before the agent's start.
+    A boot whose first heartbeat is received began after the agent's start, so that all
+    of its flows are known.
     """
-    before = state.report.boot
+    previous = state.report.boot
     alive_at = state.last_heartbeat_at
     state.report = replace(state.report, boot=heartbeat.boot)
     state.heartbeat_serial = 0
@@ -116,37 +116,37 @@
     state.first_heartbeat_received = heartbeat.serial == FIRST_SERIAL
     if state.first_heartbeat_received or state.earlier_boot not in ("", heartbeat.boot):
         state.knows_all_flows = True
-    _retire_earlier(state)
-    if not before:
+    _record_earlier_boot_ended(state)
+    if not previous:
         return []
-    state.ended_boots.add(before)
+    state.ended_boots.add(previous)
     state.knows_all_flows = True
     if state.report.state == UpstreamState.READY:
         record_crash(state.health, now)
-    tries = _try_requests(state, alive_at)
+    resent = _resend_running_requests(state, alive_at)
     effects = reset_flows(state, "upstream restarted", now, taken_until=alive_at)
-    return effects + tries
+    return effects + resent
 
 
-def _try_requests(state: AgentState, alive_at: float) -> list[Effect]:
-    """Have the new run tell which of the requests at work are its own.
+def _resend_running_requests(state: AgentState, alive_at: float) -> list[Effect]:
+    """Send again the last packets of running requests that may be of the new boot.
 
-    A flow taken since the last run's last heartbeat may be of either run: a new run
-    takes flows before its first heartbeat has arrived.  A copy of the flow's last
-    packet does not harm a run that holds the flow, and is bounced by one that does
-    not, so that its caller is freed in milliseconds instead of at its deadline.
+    A flow taken since the previous boot's last heartbeat may be of either boot, as a
+    new one takes flows before its first heartbeat arrives.  The new boot ignores the
+    copy if it holds the flow and bounces it otherwise, so that the flow is reset at
+    once rather than at the caller's deadline.
     """
     return [
         SendToUpstream(flow.last_request_packet, flow.balancer)
         for flow in state.flows.values()
         if flow.running
         and flow.last_request_packet is not None
-        and _was_taken(flow, alive_at)
+        and _was_taken_after(flow, alive_at)
     ]
 
 
-def _retire_earlier(state: AgentState) -> None:
-    """Never believe the run before this one again, if this one surely came later."""
+def _record_earlier_boot_ended(state: AgentState) -> None:
+    """Ignore the stored boot from now on if the current boot certainly came later."""
     if state.first_heartbeat_received and state.earlier_boot not in (
         "",
         state.report.boot,
@@ -155,14 +155,14 @@
 
 
 def handle_earlier_report(state: AgentState, event: EarlierReportRead) -> list[Effect]:
-    """Learn from the last run of this agent what the upstream was like.
+    """Compare the upstream with the stored report of this agent's earlier incarnation.
 
-    If it has restarted since, it holds no flow from before this agent's start,
-    and packets of unknown flows need not be tried on it.  That is certain only if
-    the store answered when this agent started: during an outage the last run may
-    have served a later run of the upstream without being able to store it.
+    If the upstream has restarted since, it holds no flow from before this agent's
+    start, and unknown flows can be denied.  That is certain only if the store was
+    available when this agent started: during an outage the earlier incarnation may have
+    served a later boot of the upstream without storing it.
 
-    Its slots are taken to be as many as before until its heartbeat tells.
+    The stored number of slots is used until the upstream's heartbeat arrives.
     """
     earlier, report = event.report, state.report
     if earlier.incarnation == report.incarnation:
@@ -171,7 +171,7 @@
         state.earlier_boot = earlier.boot
         if earlier.boot and report.boot and earlier.boot != report.boot:
             state.knows_all_flows = True
-            _retire_earlier(state)
+            _record_earlier_boot_ended(state)
     if not report.load.slots and earlier.service == report.service:
         load = replace(report.load, slots=earlier.load.slots)
         state.report = replace(report, load=load)
@@ -183,36 +183,36 @@
     return [WriteLog(event=LogEvent.EARLIER_REPORT, fields=fields)]
 
 
-def _was_taken(flow: AgentFlow, since: float) -> bool:
+def _was_taken_after(flow: AgentFlow, since: float) -> bool:
     return flow.taken_at is not None and flow.taken_at > since
 
 
 def reset_flows(
     state: AgentState, reason: str, now: float, *, taken_until: float = math.inf
 ) -> list[Effect]:
-    """Reset the open flows of a run of the upstream that has ended.
+    """Reset the open flows of a boot of the upstream that has ended.
 
     Parameters
     ----------
     taken_until : float
-        When the run that has ended was last known to be alive.  Flows taken later may
-        be the next run's and are kept; it bounces the packets of those it lacks.
+        When the ended boot was last known to be alive.  Flows taken later may be of
+        the next boot and are kept; it bounces packets of flows that it does not hold.
     """
     effects: list[Effect] = []
     for key, flow in list(state.flows.items()):
-        if _was_taken(flow, taken_until):
+        if _was_taken_after(flow, taken_until):
             continue
         if flow.phase == Phase.OPEN and not flow.closed:
             effects.append(ResetFlow(key, flow.caller_ack))
         del state.flows[key]
     fields = {"flows": len(effects), "reason": reason, "boot": state.report.boot}
     state.trial_flows.clear()
-    note = WriteLog(event=LogEvent.FLOWS_FREED, fields=fields)
-    return [*effects, note, *_slots.drop_orphaned_requests(state, now)]
+    log_entry = WriteLog(event=LogEvent.FLOWS_FREED, fields=fields)
+    return [*effects, log_entry, *_slots.drop_orphaned_requests(state, now)]
 
 
 def handle_leave(state: AgentState, event: UpstreamLeaving) -> list[Effect]:
-    """Note that the upstream's run is about to end, as it said."""
+    """Mark the upstream as gone, since it has announced the end of its boot."""
     if event.boot != state.report.boot:
         return []
     state.upstream_leaving = True
@@ -224,6 +224,7 @@
 
 
 def needs_check(state: AgentState, now: float) -> bool:
+    """Whether a check of the upstream's port is due."""
     if state.check_pending or now - state.last_check_at < CHECK_INTERVAL_SECONDS:
         return False
     if state.report.state == UpstreamState.UNRESPONSIVE or state.upstream_leaving:
@@ -235,7 +236,7 @@
 
 
 def handle_check_result(state: AgentState, event: UpstreamChecked) -> list[Effect]:
-    """Act on whether the upstream's port takes connections."""
+    """Update the upstream's state by whether its port accepts connections."""
     state.check_pending = False
     now = event.now
     if event.open:
