--- a/shedsill/datagram/_backlog.py
+++ b/shedsill/datagram/_backlog.py
@@ -1,18 +1,18 @@
-"""Requests held back from a busy upstream, and which of them it gets next.
-
-A request is fresh while it can still be answered within its route's latency
-objective, and late afterwards; a late one is worth saving until its caller gives
-up.  Fresh ones go first, the more urgent route and then the latest one before the
-others, so that most are in time also while more come than can be served.  Late
-ones wait for the last moment at which all of them can still be started before
-their deadlines, as the upstream's pace tells, and go first from then on, the
-earliest deadline before the others.  So a backlog that ends, as after a restart of
-the upstreams, costs callers time but no answers.  Where it does not end, each
-late request saved makes another one late: after one timeout of that, only every
-`SLOTS_PER_LATE_REQUEST`-th slot goes to a late one.
-
-A request whose caller has closed its end goes last: most such callers have given
-up, but one that only says that it sends no more still gets its answer.
+"""Queue of requests of a busy upstream, and the choice of the next one.
+
+A request is fresh while it can be answered within its route's latency objective, and
+late afterwards.  A late request is feasible while it can be answered before its caller
+gives up.  Fresh requests are sent first, ordered by urgency and then last in, first
+out, so that most meet their objective even under overload.  Late requests are
+postponed until the last moment at which all feasible ones can still be started before
+their deadlines; from then on they are sent first, the earliest deadline before the
+others.  A temporary backlog, as after a restart of the upstreams, therefore delays
+answers but loses none.  Under lasting overload each late request that is served makes
+another one late: after one timeout only one of `SLOTS_PER_LATE_REQUEST` slots goes to
+a late request.
+
+A request whose caller has closed its end is sent last.  Most such callers have given
+up, but one that has only shut down its sending side still gets its answer.
 """
 
 from __future__ import annotations
@@ -24,40 +24,40 @@
 from shedsill.datagram._packet import SYN_COPY_DELAYS_SECONDS, Packet
 
 SLOTS_PER_LATE_REQUEST = 4
-"""Under lasting overload, one of so many free slots goes to a late request that
-would be lost otherwise.  When all of them did, every request was late."""
+"""Under lasting overload, one of this many free slots goes to a late request that would
+miss its deadline otherwise.  If all of them did, every request would be late."""
 
 LATE_SERVICE_TIME_FACTOR = 2.0
-"""Mean service times that a late request is given before its deadline: the
-longest of twenty takes about that where times vary by half of their mean."""
+"""Multiple of the mean service time for which a late request is sent before its
+deadline: about the longest of twenty where the standard deviation is half the mean."""
 
 EARLIER_ATTEMPT_SECONDS = 1.5
-"""Seconds that a caller may have spent on an earlier try of its request: callers
-give up an opening without an answer after 1.4 s and try again 0.1 s later, from
-another port and with what is left of the timeout."""
+"""Time that a caller may have spent on an earlier attempt of its request: callers give
+up a SYN without an answer after 1.4 s and retry 0.1 s later, from another port and with
+the rest of the timeout."""
 
 
 class QueuedRequest(Struct):
-    """A request whose upstream has no free slot.
+    """A request that waits for a free slot of the upstream.
 
     Attributes
     ----------
     packets : list of Packet
-        The flow's content since the request began; other packets pass.
+        Packets with the request's content; others are not queued.
     queued_at : float
-        When it came.
+        When the request arrived.
     requested_at : float
-        When its caller first asked for it, as far as known.
+        Arrival of the request less the time lost before the flow's SYN arrived.
     urgency : int
-        Priority of its route; 0 is the highest.
+        Priority of the route; 0 is the highest.
     objective_at : float
-        Until when an answer is within the latency objective.
+        End of the route's latency objective.
     deadline_at : float
-        When its caller gives up.
+        When the caller gives up.
     may_be_retry : bool
-        Whether its caller may have tried before, and give up sooner.
+        Whether the caller may have tried before, and would give up sooner.
     caller_closed : bool
-        Whether its caller has closed its end.
+        Whether the caller has closed its end.
     """
 
     packets: list[Packet]
@@ -70,15 +70,15 @@
     caller_closed: bool = False
 
     def estimate_deadline(self, answered_at: float) -> float:
-        """Return when its caller is likely to give up.
+        """Return when the caller is likely to give up.
 
-        A caller that may have tried before may give up `EARLIER_ATTEMPT_SECONDS`
-        sooner; one that is still there by then had not tried before.
+        A caller that may have tried before gives up `EARLIER_ATTEMPT_SECONDS` sooner;
+        if it still waits by then, it had not tried before.
 
         Parameters
         ----------
         answered_at : float
-            When it would be answered if it were started now.
+            When the request would be answered if it were started now.
         """
         earlier = self.deadline_at - EARLIER_ATTEMPT_SECONDS
         return (
@@ -89,19 +89,19 @@
 
 
 class Backlog(Struct):
-    """The held requests of one upstream.
+    """The queued requests of one upstream.
 
     Attributes
     ----------
     requests : dict of bytes to QueuedRequest
-        By flow.
+        Requests by flow.
     late_since : float or None
-        Since when there has been a late request at each choice.
+        Start of the period in which each choice included a late request.
     fresh_since_late : int
-        Fresh requests passed on since the last late one.
+        Fresh requests sent since the last late one.
     syn_lost_at : float or None
-        The latest known time at which an opening packet was sent that was lost, as
-        a copy of it tells: other callers may have lost all of theirs.
+        When the latest SYN was sent of which only a copy arrived; other callers may
+        have lost all of theirs around that time.
     """
 
     requests: dict[bytes, QueuedRequest] = field(default_factory=dict)
@@ -111,17 +111,16 @@
 
 
 class Forecast(Struct, frozen=True, kw_only=True):
-    """How soon the upstream's slots become free, from its answers so far.
+    """Forecast of the upstream's free slots by its mean service times.
 
     Attributes
     ----------
     slots : int
-        Requests that the upstream works on at once.
+        Requests that the upstream runs concurrently.
     cold_until : float
-        Until when it works slowly after its start.
+        When the upstream reaches its full speed after its start.
     cold_service_time, service_time : float
-        Mean seconds that a request takes until then and afterwards; 0 where
-        nothing is known yet.
+        Mean seconds that a request takes until then and afterwards; 0 if unknown.
     """
 
     now: float
@@ -131,7 +130,7 @@
     service_time: float
 
     def estimate_start(self, position: int) -> float:
-        """Return when a request can be started that has so many others before it.
+        """Return when a request can be started that has `position` others before it.
 
         Examples
         --------
@@ -148,33 +147,33 @@
         start = self.now + position * self.cold_service_time / self.slots
         if start <= self.cold_until:
             return start
-        began = max(self.cold_until, self.now)
+        warm_at = max(self.cold_until, self.now)
         if not self.cold_service_time:
-            return began
-        left = position - (began - self.now) * self.slots / self.cold_service_time
-        return began + left * self.service_time / self.slots
+            return warm_at
+        left = position - (warm_at - self.now) * self.slots / self.cold_service_time
+        return warm_at + left * self.service_time / self.slots
 
-    def estimate_end(self, start: float, *, margin: float = 1.0) -> float:
-        """Return when a request that starts then is answered.
+    def estimate_end(self, start: float, *, factor: float = 1.0) -> float:
+        """Return when a request that starts at `start` is answered.
 
         Parameters
         ----------
-        margin : float
-            By how much longer than the mean it may take.
+        factor : float
+            Multiple of the mean service time that it may take.
         """
         service = (
             self.cold_service_time if start < self.cold_until else self.service_time
         )
-        return start + service * margin
+        return start + service * factor
 
 
 class LateRequest(Struct, frozen=True, kw_only=True, order=True):
-    """A late request that may be saved; those to be left out first are the least.
+    """A late request that may be feasible; the least one is excluded first.
 
     Attributes
     ----------
     deadline_at : float
-        When its caller is likely to give up, see `QueuedRequest.estimate_deadline`.
+        When the caller is likely to give up, see `QueuedRequest.estimate_deadline`.
     """
 
     negative_urgency: int
@@ -183,49 +182,51 @@
 
 
 def add_request(backlog: Backlog, flow: bytes, request: QueuedRequest) -> None:
-    """Add a request."""
+    """Add a request, and estimate whether it may be a retry."""
     if not backlog.requests:
         backlog.late_since = None
         backlog.fresh_since_late = 0
-    request.may_be_retry = _may_be_repeated(backlog, request.requested_at)
+    request.may_be_retry = _may_be_retry(backlog, request.requested_at)
     backlog.requests[flow] = request
 
 
-def _may_be_repeated(backlog: Backlog, asked: float) -> bool:
-    """Whether a caller that asked then may have tried before.
+def _may_be_retry(backlog: Backlog, requested_at: float) -> bool:
+    """Whether a request of that time may be a retry.
 
-    One whose last copy was still lost tries again `EARLIER_ATTEMPT_SECONDS` after the
-    first.
+    A caller that lost all copies of its SYN retries `EARLIER_ATTEMPT_SECONDS` after the
+    first one.
     """
     lost_at = backlog.syn_lost_at
     if lost_at is None:
         return False
-    return asked < lost_at - SYN_COPY_DELAYS_SECONDS[-1] + EARLIER_ATTEMPT_SECONDS
+    return (
+        requested_at < lost_at - SYN_COPY_DELAYS_SECONDS[-1] + EARLIER_ATTEMPT_SECONDS
+    )
 
 
 def count_open_requests(backlog: Backlog) -> int:
-    """Return the held requests whose callers have not closed."""
+    """Return the number of queued requests whose callers have not closed."""
     return sum(not request.caller_closed for request in backlog.requests.values())
 
 
 def choose_next_request(backlog: Backlog, forecast: Forecast) -> bytes:
-    """Return the flow whose request gets the slot that is free now."""
+    """Return the flow whose request gets the slot that is now free."""
     fresh, late = _split_by_lateness(backlog, forecast)
-    savable = _list_savable(backlog, late, forecast)
-    if fresh and not _must_rescue(backlog, savable, forecast):
+    feasible = _list_feasible(backlog, late, forecast)
+    if fresh and not _needs_late_request(backlog, feasible, forecast):
         backlog.fresh_since_late += 1
         return min(fresh, key=lambda flow: _rank_fresh(backlog.requests[flow]))
     backlog.fresh_since_late = 0
-    if savable:
-        return savable[0].flow
-    return max(late, key=lambda flow: _rank_lost(backlog.requests[flow]))
+    if feasible:
+        return feasible[0].flow
+    return max(late, key=lambda flow: _rank_infeasible(backlog.requests[flow]))
 
 
 def _rank_fresh(request: QueuedRequest) -> tuple[int, float]:
     return request.urgency, -request.requested_at
 
 
-def _rank_lost(request: QueuedRequest) -> tuple[bool, float]:
+def _rank_infeasible(request: QueuedRequest) -> tuple[bool, float]:
     return not request.caller_closed, request.deadline_at
 
 
@@ -246,19 +247,19 @@
     return fresh, late
 
 
-def _list_savable(
+def _list_feasible(
     backlog: Backlog, late: list[bytes], forecast: Forecast
 ) -> list[LateRequest]:
-    """Return late requests that can all be answered in time, by their deadlines.
+    """Return late requests that can all meet their deadlines, earliest deadline first.
 
-    Where not all of them can, the least urgent ones that have waited the longest
-    are left out.
+    If not all of them can, the least urgent ones are excluded first, and among these
+    the earliest deadlines.
     """
-    soonest = forecast.estimate_end(forecast.now)
+    answered_at = forecast.estimate_end(forecast.now)
     candidates = [
         LateRequest(
             negative_urgency=-request.urgency,
-            deadline_at=request.estimate_deadline(soonest),
+            deadline_at=request.estimate_deadline(answered_at),
             flow=flow,
         )
         for flow, request in ((flow, backlog.requests[flow]) for flow in late)
@@ -279,25 +280,31 @@
     return request.deadline_at
 
 
-def _must_rescue(
-    backlog: Backlog, savable: list[LateRequest], forecast: Forecast
+def _needs_late_request(
+    backlog: Backlog, feasible: list[LateRequest], forecast: Forecast
 ) -> bool:
-    """Whether a late request would be lost if this slot went to a fresh one."""
-    if not savable or not _may_rescue(backlog, savable[0].flow, forecast.now):
+    """Whether a late request would miss its deadline if a fresh one got this slot."""
+    if not feasible or not _can_delay_fresh(backlog, feasible[0].flow, forecast.now):
         return False
-    for position, request in enumerate(savable, start=1):
+    for position, request in enumerate(feasible, start=1):
         start = forecast.estimate_start(position)
         if (
-            forecast.estimate_end(start, margin=LATE_SERVICE_TIME_FACTOR)
+            forecast.estimate_end(start, factor=LATE_SERVICE_TIME_FACTOR)
             > request.deadline_at
         ):
             return True
     return False
 
 
-def _may_rescue(backlog: Backlog, first: bytes, now: float) -> bool:
-    """Whether late requests may delay fresh ones: for one timeout, then rarely."""
+def _can_delay_fresh(backlog: Backlog, first: bytes, now: float) -> bool:
+    """Whether late requests may delay fresh ones: for one timeout, then for some slots.
+
+    Parameters
+    ----------
+    first : bytes
+        Flow of the feasible request with the earliest deadline.
+    """
     request = backlog.requests[first]
     timeout = request.deadline_at - request.requested_at
-    lasting = backlog.late_since is not None and now - backlog.late_since > timeout
-    return not lasting or backlog.fresh_since_late >= SLOTS_PER_LATE_REQUEST - 1
+    is_lasting = backlog.late_since is not None and now - backlog.late_since > timeout
+    return not is_lasting or backlog.fresh_since_late >= SLOTS_PER_LATE_REQUEST - 1
--- a/shedsill/datagram/_health.py
+++ b/shedsill/datagram/_health.py
@@ -1,11 +1,11 @@
-"""What an upstream's own behaviour says of its health.
-
-Its status check may lie, and packets are opaque, but time is not: an upstream
-that fails requests answers far quicker than the work takes.  Left alone, it
-would even draw more flows, since it is never busy.  One that crashes again and
-again breaks the flows that it is given in between.  Both are avoided for a
-while: balancers offer them flows only if there is no other upstream.  Each pause
-that follows soon after another is twice as long.
+"""Outlier detection: avoids an upstream that answers too quickly or crashes repeatedly.
+
+A status check may pass on an upstream that fails requests, and packets are opaque.  But
+failures are much quicker than regular answers.  As such an upstream is never busy, it
+would attract more flows than others.  An upstream that crashes repeatedly breaks the
+flows that it takes between two crashes.  Both are avoided for some time: balancers
+offer them flows only if there is no other upstream.  Each avoidance that follows soon
+after another lasts twice as long.
 """
 
 from __future__ import annotations
@@ -13,41 +13,41 @@
 from msgspec import Struct, field
 
 QUICK_ANSWER_RATIO = 0.12
-"""An answer that came within this share of the usual time counts as a failure.
-Measured: failures take 1 to 3 ms where work takes 48; no answer of a healthy
-upstream took less than 0.2 of the mean."""
+"""An answer within this share of the mean service time is quick, a likely failure.
+Failures take a few milliseconds, regular answers at least 0.2 of the mean."""
 
 QUICK_ANSWER_WEIGHT = 0.1
-"""Weight of the latest answer in the share of quick ones."""
+"""Weight of the latest answer in the moving share of quick answers."""
 
 MAX_QUICK_SHARE = 0.25
-"""Share of quick answers from which on an upstream is avoided: three in a row,
-or a quarter of all."""
+"""Share of quick answers at which an upstream is avoided: three in a row, or a quarter
+of all."""
 
 SERVICE_TIME_WEIGHT = 0.05
-"""Weight of the latest ordinary answer in the usual time."""
+"""Weight of the latest regular answer in the mean service time."""
 
 MIN_SERVICE_TIME_ANSWERS = 8
-"""Answers needed before the usual time is believed."""
+"""Regular answers after which quick ones are detected."""
 
 FIRST_AVOIDANCE_SECONDS = 1.0
 MAX_AVOIDANCE_SECONDS = 8.0
-"""Seconds for which an upstream is avoided: long enough to spare callers most
-failures, short enough to find soon that it has recovered."""
+"""Shortest and longest avoidance: long enough to prevent most failures, short enough to
+notice a recovery soon."""
 
 AVOIDANCE_RESET_SECONDS = 15.0
-"""Seconds without a new reason after which pauses begin short again."""
+"""An avoidance that starts this long after the last one ended has the shortest length;
+crashes that are further apart are not repeated ones."""
 
 
 class ServiceTime(Struct):
-    """Mean time of the ordinary answers.
+    """Mean service time of regular answers.
 
     Attributes
     ----------
     seconds : float
-        The mean, in which later answers weigh more.
+        Exponentially weighted mean.
     answers : int
-        Answers seen.
+        Number of regular answers.
     """
 
     seconds: float = 0.0
@@ -55,20 +55,20 @@
 
 
 class Health(Struct):
-    """What an agent has seen of its upstream.
+    """Health of an upstream, as estimated by its agent.
 
     Attributes
     ----------
     warm, cold : ServiceTime
-        How long requests take at full speed, and just after a start.
+        Service time at full speed, and soon after a start.
     quick_share : float
-        Share of quick answers among the latest ones.
+        Moving share of quick answers.
     avoidance_seconds : float
-        Length of the last pause.
+        Length of the last avoidance.
     avoided_until : float
-        Local time until which the upstream is avoided.
+        When the last avoidance ends.
     crashed_at : float or None
-        When its last run ended without notice.
+        When a boot of the upstream last ended without notice.
     """
 
     warm: ServiceTime = field(default_factory=ServiceTime)
@@ -82,12 +82,12 @@
 def record_answer(
     health: Health, seconds: float, now: float, *, cold: bool = False
 ) -> bool:
-    """Take in the time of one answer; return whether a pause begins.
+    """Record the service time of an answer; return whether an avoidance starts.
 
     Parameters
     ----------
     cold : bool
-        Whether the upstream still worked slowly after its start.
+        Whether the upstream had not reached its full speed after its start.
 
     Examples
     --------
@@ -106,7 +106,7 @@
     if is_quick:
         if health.quick_share < MAX_QUICK_SHARE or now < health.avoided_until:
             return False
-        _begin_pause(health, now)
+        _start_avoidance(health, now)
         return True
     usual.answers += 1
     weight = max(SERVICE_TIME_WEIGHT, 1 / usual.answers)
@@ -115,9 +115,9 @@
 
 
 def estimate_service_time(health: Health, *, cold: bool) -> float:
-    """Return the mean seconds of a request; 0 where no answer has been seen.
+    """Return the mean service time in seconds; 0 if unknown.
 
-    What has been seen only in the other state of warmth is taken for both.
+    If only the cold or only the warm one is known, it is used for both.
 
     Examples
     --------
@@ -134,23 +134,23 @@
 
 
 def record_crash(health: Health, now: float) -> None:
-    """Note that a run of the upstream has ended without notice."""
+    """Record that a boot of the upstream has ended without notice."""
     earlier = health.crashed_at
     health.crashed_at = now
     if earlier is not None and now - earlier < AVOIDANCE_RESET_SECONDS:
-        _begin_pause(health, now)
+        _start_avoidance(health, now)
 
 
-def _begin_pause(health: Health, now: float) -> None:
-    forgiven = now - health.avoided_until > AVOIDANCE_RESET_SECONDS
-    longer = min(health.avoidance_seconds * 2, MAX_AVOIDANCE_SECONDS)
+def _start_avoidance(health: Health, now: float) -> None:
+    is_reset = now - health.avoided_until > AVOIDANCE_RESET_SECONDS
+    doubled = min(health.avoidance_seconds * 2, MAX_AVOIDANCE_SECONDS)
     health.avoidance_seconds = (
-        FIRST_AVOIDANCE_SECONDS if forgiven or not health.avoidance_seconds else longer
+        FIRST_AVOIDANCE_SECONDS if is_reset or not health.avoidance_seconds else doubled
     )
     health.avoided_until = now + health.avoidance_seconds
     health.quick_share = 0.0
 
 
 def get_avoidance_left(health: Health, now: float) -> float:
-    """Return the seconds for which the upstream is still to be avoided."""
+    """Return the seconds that are left of the current avoidance."""
     return max(health.avoided_until - now, 0.0)
--- a/shedsill/datagram/_packet.py
+++ b/shedsill/datagram/_packet.py
@@ -1,4 +1,4 @@
-"""Packets of opaque flows, as the reducers see them."""
+"""Decoded packets of opaque flows."""
 
 from __future__ import annotations
 
@@ -9,52 +9,48 @@
 FIN = 4
 RST = 8
 BOUNCED = 16
-"""Set by an upstream on a packet that it hands back, unchanged otherwise."""
+"""Set by an upstream on a packet that it returns otherwise unchanged."""
 
 SEQUENCE_SPACE = 1 << 32
 
 RECEIVE_WINDOW_BYTES = 76_800
-"""Octets by which an acknowledgement may be ahead of a flow's first number for it
-to be one of the caller's first packets; the platform's bound for resets."""
-
+"""Largest distance of an acknowledgement from the initial sequence number in one of a
+caller's first packets; the platform's limit for resets."""
 
 SYN_COPY_DELAYS_SECONDS = (0.0, 0.2, 0.6)
-"""Seconds after a caller's first opening packet at which it sends each copy, by
-the number of copies sent before; the platform's documented figures."""
+"""Delays of the copies of a SYN after the first one, by the number of copies sent
+before; documented by the platform."""
 
 
 class Packet(Struct):
-    """One packet; `data` is what is sent on, the rest was read from it.
+    """A packet: `data` is forwarded, the other attributes were decoded from it.
 
     Attributes
     ----------
     flow : bytes
-        Address pair of the flow, the same for both directions.
+        Address pair of the flow, the same in both directions.
     endpoint : bytes
         Service address (IP number and port) of the flow, as a key of
         `ForwardingTable.routes`.
     flags : int
         Any of `SYN`, `ACK`, `FIN`, `RST` and `BOUNCED`.
     copy : int
-        How many copies of this opening packet the caller sent before; 0 for
-        other packets.
+        Copies of this SYN that the caller sent before; 0 for other packets.
     seq, ack : int
-        Sequence number of the first octet, and the next one expected from the
-        other end; modulo `SEQUENCE_SPACE`.
+        Sequence numbers of the first byte and of the one that is expected next from
+        the other end, modulo `SEQUENCE_SPACE`.
     length : int
-        Octets of content.
+        Bytes of content.
     urgency : int
-        Priority of the flow's route, as its balancer says; 0 is the highest.
+        Priority of the flow's route, added by the balancer; 0 is the highest.
     bulk : bool
-        Whether the route carries large bodies, as its balancer says.
+        Whether the route carries large bodies, added by the balancer.
     timeout : float
-        Seconds after which its caller gives up, as its balancer says; 0 where
-        that is not known.
+        Seconds after which the caller gives up, added by the balancer; 0 if unknown.
     objective : float
-        Seconds within which its caller wants the answer, as its balancer says; 0
-        where that is not known.
+        Latency objective of the route in seconds, added by the balancer; 0 if unknown.
     balancer : str
-        For a bounced packet, the host of the balancer that had sent it.
+        Host of the balancer that forwarded a bounced packet.
     """
 
     flow: bytes
@@ -73,12 +69,12 @@
 
 
 def is_syn(packet: Packet) -> bool:
-    """Whether a packet asks for a new flow (a SYN without an ACK)."""
+    """Whether a packet requests a new flow: a SYN without an ACK."""
     return packet.flags & (SYN | ACK) == SYN
 
 
 def get_syn_copy_delay(packet: Packet) -> float:
-    """Return how long before an opening packet its caller sent the first copy.
+    """Return the seconds between a caller's first SYN and this copy of it.
 
     Examples
     --------
@@ -90,7 +86,7 @@
 
 
 def measure_advance(later: int, earlier: int) -> int:
-    """Return how far one sequence number is ahead of another, modulo 2**32.
+    """Return the distance of a later sequence number from an earlier one, modulo 2**32.
 
     Examples
     --------
@@ -101,7 +97,7 @@
 
 
 def is_ack_in_window(packet: Packet, initial_seq: int) -> bool:
-    """Whether a caller's packet belongs to a flow that began with a number.
+    """Whether a caller's packet may acknowledge a flow's initial sequence number.
 
     Examples
     --------
--- a/shedsill/datagram/_process_pauses.py
+++ b/shedsill/datagram/_process_pauses.py
@@ -1,7 +1,7 @@
-"""Times at which a node did not run: its VM stood still or was out of processor quota.
+"""Pauses of the process: its VM was suspended or out of CPU quota.
 
-Whatever came meanwhile waits to be read, so that nothing may be taken for silent
-because of that time.
+Packets that arrive during a pause are read only after it, so that timeouts of other
+nodes, callers and upstreams must not include it.
 """
 
 from __future__ import annotations
@@ -9,17 +9,17 @@
 __all__ = ["measure_pause"]
 
 MIN_PAUSE_SECONDS = 0.3
-"""A gap between ticks (s) that shows that the process did not run: seven ticks, and
-more than the 0.1 s for which a VM out of quota stands still."""
+"""Longer gaps between ticks are pauses: seven ticks, and more than the 0.1 s for which
+a VM out of quota is suspended."""
 
 
 def measure_pause(last_tick_at: float | None, now: float) -> float:
-    """Return the seconds for which this node did not run; 0 if it did.
+    """Return the length in seconds of a pause since the last tick; 0 if none.
 
     Parameters
     ----------
     last_tick_at : float or None
-        None where this is the first tick.
+        None at the first tick.
 
     Examples
     --------
@@ -30,5 +30,5 @@
     """
     if last_tick_at is None:
         return 0.0
-    gap = now - last_tick_at
-    return gap if gap > MIN_PAUSE_SECONDS else 0.0
+    elapsed = now - last_tick_at
+    return elapsed if elapsed > MIN_PAUSE_SECONDS else 0.0
