--- a/shedsill/datagram/__init__.py
+++ b/shedsill/datagram/__init__.py
@@ -1,11 +1,11 @@
-"""Opaque datagram flows: packets are carried between callers and upstreams.
+"""Load balancing of opaque flows: packets between callers and upstreams.
 
-A flow is known by the address pair in its packets.  Its content is never read
-or changed.  Balancers choose an upstream for each new flow; the agent beside
-an upstream is the authority on the flows that its upstream holds.
+A flow is identified by the address pair in its packets.  Its content is neither read
+nor changed.  Balancers choose an upstream for each new flow.  Each upstream has an
+agent, which is the authority on the flows that it holds.
 
-`shedsill.datagram` decides; `shedsill.platform` translates between it and one
-hosting platform's packets, store and settings.
+`shedsill.datagram` has the decisions; `shedsill.platform` adapts it to the packets,
+store and settings of one hosting platform.
 """
 
 from __future__ import annotations
--- a/shedsill/datagram/_effects.py
+++ b/shedsill/datagram/_effects.py
@@ -1,4 +1,4 @@
-"""Everything that the reducer can ask the runtime to do."""
+"""Effects that the reducer returns for the runtime to execute."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 
 class ForwardPacket(Struct):
-    """Send a caller's packet to an agent.
+    """Forward a caller's packet to an agent.
 
     Attributes
     ----------
     service : int
-        Number of the service that is meant, see `hash_service`.
+        Number of the service that the packet is for, see `hash_service`.
     route : Route or None
-        What the operator declared for the flow; None where it is not known.
+        The flow's route in the forwarding table; None if unknown.
     """
 
     host: str
@@ -28,12 +28,12 @@
 
 
 class SendToUpstream(Struct):
-    """Give a caller's packet to the upstream beside this agent.
+    """Send a caller's packet to the agent's upstream.
 
     Attributes
     ----------
     balancer : str
-        Comes back with the packet if the upstream bounces it.
+        Host that a bounced packet carries back.
     """
 
     packet: Packet
@@ -47,12 +47,12 @@
 
 
 class ResetFlow(Struct):
-    """Tell a caller that its flow has ended.
+    """Send a reset of a flow to its caller.
 
     Attributes
     ----------
     seq : int
-        What the caller expects next, as far as known.
+        Sequence number that the caller expects next, as far as known.
     """
 
     flow: bytes
@@ -67,55 +67,55 @@
 
 
 class StoreReport(Struct, frozen=True):
-    """Keep this node's report in the platform's store; the latest one counts."""
+    """Store this node's report in the platform's store; a later one replaces it."""
 
     report: NodeReport
 
 
 class RemoveReport(Struct, frozen=True):
-    """Remove a report from the store if it is still of this incarnation."""
+    """Remove this node's report from the store if it is still of this incarnation."""
 
     report: NodeReport
 
 
 class RemovePeerReport(Struct, frozen=True):
-    """Remove another node's report from the store if it is still this one."""
+    """Remove another node's report from the store if it is unchanged."""
 
     report: NodeReport
 
 
 class StoreCheckpoint(Struct, frozen=True):
-    """Keep the open flows of all balancers in the platform's store.
+    """Store the open flows of all balancers in the platform's store.
 
     Attributes
     ----------
     parts : dict of str to list of OpenFlow
-        By balancer.
+        Open flows by balancer.
     """
 
     parts: dict[str, list[OpenFlow]]
 
 
 class ReadCheckpoint(Struct, frozen=True):
-    """Read which flows were open before this balancer's start."""
+    """Read the flows that were open before this balancer's start from the store."""
 
 
 class ReadReports(Struct, frozen=True):
-    """Read at once what has changed in the reports of nodes."""
+    """Read the changed reports of nodes from the store at once."""
 
 
 class CheckUpstream(Struct, frozen=True):
-    """Try a connection to the upstream's port."""
+    """Attempt a connection to the upstream's port."""
 
 
 class ObserveLatency(Struct):
-    """Count a duration: of an opening at a balancer, of a request at an agent."""
+    """Record a latency: of a flow's opening at a balancer, of a request at an agent."""
 
     seconds: float
 
 
 class PullTable(Struct, frozen=True):
-    """Read the forwarding table from another balancer."""
+    """Request the forwarding table from another balancer."""
 
     host: str
 
--- a/shedsill/datagram/_events.py
+++ b/shedsill/datagram/_events.py
@@ -1,6 +1,6 @@
-"""Everything that can happen to a node that carries opaque flows.
+"""Events of a node that carries opaque flows: the input of its reducer.
 
-Times are seconds on the node's monotonic clock.
+Times are seconds of the node's monotonic clock.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class Tick(Struct, frozen=True, kw_only=True):
-    """Time has passed; comes every `TICK_INTERVAL` seconds."""
+    """A timer event; dispatched every `TICK_INTERVAL` seconds."""
 
     now: float
 
@@ -31,7 +31,7 @@
 
 
 class PacketsDrained(Struct, frozen=True, kw_only=True):
-    """No packet is left to be read for the moment."""
+    """All packets that had arrived have been read."""
 
     now: float
 
@@ -42,7 +42,7 @@
     Attributes
     ----------
     service : int
-        Number of the service that the balancer meant, see `hash_service`.
+        Number of the service that the packet is for, see `hash_service`.
     """
 
     packet: Packet
@@ -59,7 +59,7 @@
 
 
 class MessageReceived(Struct, frozen=True, kw_only=True):
-    """A message came from another node."""
+    """A message of another node was received."""
 
     message: Message
     source: str
@@ -67,16 +67,16 @@
 
 
 class Heartbeat(Struct, frozen=True, kw_only=True):
-    """What an upstream says of itself.
+    """A heartbeat of an upstream.
 
     Attributes
     ----------
     boot : str
-        Identifier of the upstream's run.
+        Identifier of the upstream's boot.
     serial : int
-        Grows with each heartbeat of one run.
+        Grows with each heartbeat of one boot.
     cold : float
-        Seconds for which it still works slowly after its start.
+        Seconds until the upstream reaches its full speed after its start.
     """
 
     boot: str
@@ -94,21 +94,21 @@
 
 
 class UpstreamLeaving(Struct, frozen=True, kw_only=True):
-    """The upstream said that this run of it is about to end."""
+    """The upstream announced the end of its current boot."""
 
     boot: str
     now: float
 
 
 class UpstreamChecked(Struct, frozen=True, kw_only=True):
-    """A connection to the upstream was tried.
+    """A connection to the upstream's port was attempted.
 
     Attributes
     ----------
     open : bool
-        Whether its port took the connection.
+        Whether the connection was accepted.
     refused : bool
-        Whether the VM answered that nothing listens there.
+        Whether the connection was refused, since nothing listens on the port.
     """
 
     open: bool
@@ -117,7 +117,7 @@
 
 
 class TableReceived(Struct, frozen=True, kw_only=True):
-    """A forwarding table came from the platform's store or a peer."""
+    """A forwarding table was received from the platform's store or a peer."""
 
     table: ForwardingTable
     source: str
@@ -125,12 +125,12 @@
 
 
 class ReportsListed(Struct, frozen=True, kw_only=True):
-    """The store's reports of nodes were read or have changed.
+    """Reports of nodes were read from the store, all of them or changed ones.
 
     Attributes
     ----------
     complete : bool
-        Whether `reports` are all there are.
+        Whether `reports` are all reports in the store.
     removed : tuple of str
         Hosts whose report was deleted.
     """
@@ -142,13 +142,12 @@
 
 
 class EarlierReportRead(Struct, frozen=True, kw_only=True):
-    """The store holds a report that an earlier run of this node has left.
+    """The report of an earlier incarnation of this node was read from the store.
 
     Attributes
     ----------
     at_start : bool
-        Whether it was read as soon as this node started, so that the store was
-        not away then.
+        Whether it was read at this node's start, so that the store was available then.
     """
 
     report: NodeReport
@@ -162,11 +161,11 @@
     Attributes
     ----------
     parts : dict of str to list of OpenFlow
-        By the balancer that told of them.
+        Open flows by the balancer that reported them.
     age : float
-        Seconds since it was written, by the wall clocks of two nodes.
+        Seconds since it was written, by the wall clocks of the two nodes.
     at_start : bool
-        Whether it was read for this balancer's start, rather than met by a write.
+        Whether it was read for this balancer's start, not on a conflicting write.
     """
 
     parts: dict[str, list[OpenFlow]]
@@ -176,12 +175,12 @@
 
 
 class SettingsChanged(Struct, frozen=True, kw_only=True):
-    """The operator's settings for this node were read again.
+    """The operator's settings of this node were reloaded.
 
     Attributes
     ----------
     seeds : tuple of str
-        Hosts of balancers, some of which may be gone.
+        Hosts of balancers; some may no longer exist.
     flow_lifetime, stop_limit : float
         Seconds; see `NodeSettings`.
     """
@@ -192,7 +191,7 @@
 
 
 class StopRequested(Struct, frozen=True, kw_only=True):
-    """The process was asked to stop."""
+    """A planned stop of the process was requested."""
 
     now: float
 
--- a/shedsill/datagram/_messages.py
+++ b/shedsill/datagram/_messages.py
@@ -1,9 +1,9 @@
-"""Messages between balancers and agents, one in a UDP datagram.
+"""Messages between balancers and agents, one per UDP datagram.
 
-A message is one octet for its class and the msgpack form of its attributes, in
-their order and without their names, which would be half of the octets.
-pycapnp, which frames of the HTTP/3 product use, costs a third of the CPU and
-memory that a node may spend on its start here; msgspec checks the types too.
+A message is one byte for its class and the msgpack encoding of its attributes as an
+array, since names would double its size.  Decoding validates the types.  Frames of the
+HTTP/3 product use pycapnp, which needs too much CPU and memory at the start of a node
+here.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 
 
 class Role(enum.Enum):
-    """What a node does."""
+    """Role of a node."""
 
     BALANCER = "balancer"
     AGENT = "agent"
 
 
 class UpstreamState(enum.Enum):
-    """Whether an upstream takes new flows, as its agent knows."""
+    """State of an upstream, as its agent knows it."""
 
     UNKNOWN = "unknown"
     READY = "ready"
@@ -37,22 +37,22 @@
 
 
 class Load(Struct, frozen=True, kw_only=True, array_like=True):
-    """How full an upstream is, as its agent counts it.
+    """Load of an upstream, as its agent counts it.
 
     Attributes
     ----------
     busy : int
-        Requests sent and not answered yet.
+        Requests that have arrived at the agent and are not answered.
     average : float
-        `busy`, averaged over the last second or two.
+        Moving average of `busy` over the last second or two.
     slots : int
-        Requests that the upstream works on at once; 0 where not known yet.
+        Requests that the upstream runs concurrently; 0 if unknown.
     flows : int
         Open flows.
     cold : float
-        Seconds for which the upstream still works slowly after its start.
+        Seconds until the upstream reaches its full speed after its start.
     avoided : float
-        Seconds for which it should be offered flows only if there is no other.
+        Seconds for which it is offered flows only if there is no other upstream.
     """
 
     busy: int = 0
@@ -64,24 +64,24 @@
 
 
 class NodeReport(Struct, frozen=True, kw_only=True, array_like=True):
-    """What a node says of itself; kept in the platform's store too.
+    """Report of a node about itself, also stored in the platform's store.
 
     Attributes
     ----------
     host : str
-        IP number; ports are the same on all nodes.
+        IP address; ports are the same on all nodes.
     incarnation : int
-        Drawn at each start of the process.
+        Random number drawn at each start of the process.
     serial : int
         Grows with each change within one incarnation.
     service : str
         The upstream's service; empty for a balancer.
     boot : str
-        Identifier of the upstream's current run; empty where not known yet.
+        Identifier of the upstream's current boot; empty if unknown.
     stopping : bool
-        Whether the process has been asked to stop; the upstream may live on.
+        Whether a planned stop of the process has begun; the upstream may stay up.
     version : int
-        Version of the forwarding table in force; 0 for agents.
+        Version of the forwarding table in use; 0 for agents.
     """
 
     host: str
@@ -98,30 +98,30 @@
 
 
 class Announcement(Struct, frozen=True, kw_only=True, array_like=True):
-    """A node's report, sent when it changes and as an answer to `Probe`."""
+    """A node's report, sent when it changes and in answer to a `Probe`."""
 
     report: NodeReport
 
 
 class Probe(Struct, frozen=True, kw_only=True, array_like=True):
-    """Asks for an `Announcement`.
+    """Requests an `Announcement`.
 
     Attributes
     ----------
     report : NodeReport or None
-        The asking node's own, where that may be news.
+        Report of the sender, if the receiver may not have it.
     """
 
     report: NodeReport | None = None
 
 
 class Roster(Struct, frozen=True, kw_only=True, array_like=True):
-    """Nodes that a balancer knows, for one that has just started.
+    """Reports of the nodes that a balancer knows, for one that has just started.
 
     Attributes
     ----------
     last : bool
-        Whether no more messages of this kind follow.
+        Whether this is the last of the messages that carry them.
     """
 
     reports: list[NodeReport]
@@ -129,12 +129,12 @@
 
 
 class FlowTaken(Struct, frozen=True, kw_only=True, array_like=True):
-    """The upstream has answered an opening packet.
+    """The upstream has answered a SYN.
 
     Attributes
     ----------
     initial_seq : int
-        The sequence number that the upstream chose for the flow.
+        Initial sequence number of the upstream.
     """
 
     flow: bytes
@@ -144,13 +144,13 @@
 
 
 class Locate(Struct, frozen=True, kw_only=True, array_like=True):
-    """Asks an agent which of these flows its upstream holds."""
+    """Requests a `Located` from an agent: which of these flows its upstream holds."""
 
     flows: list[bytes]
 
 
 class Located(Struct, frozen=True, kw_only=True, array_like=True):
-    """Answer to `Locate`; each flow asked for is in one of the lists.
+    """Answer to `Locate`; each requested flow is in one of the lists.
 
     Attributes
     ----------
@@ -159,8 +159,8 @@
     unknown : list of bytes
         Flows that the upstream certainly does not hold.
     unsure : list of bytes
-        Flows that it may have held since before the agent's start; only a
-        packet of the flow, given to the upstream, can tell.
+        Flows that the upstream may have held since before the agent's start; only its
+        answer to a packet of the flow shows it.
     """
 
     boot: str
@@ -171,7 +171,7 @@
 
 
 class ReturnReason(enum.Enum):
-    """Why a packet came back to the balancer."""
+    """Why an agent returned a packet or denied its flow."""
 
     REFUSED = "refused"
     NOT_TAKING = "not taking new flows"
@@ -181,9 +181,9 @@
 
 
 class FlowDenied(Struct, frozen=True, kw_only=True, array_like=True):
-    """A packet came whose flow the agent's upstream does not hold.
+    """The agent's upstream does not hold the flow of a packet.
 
-    The packet does not come back: it may be large, and a restart of many nodes
+    The packet itself is not returned: it may be large, and a restart of many nodes
     denies many flows at once.
     """
 
@@ -194,12 +194,12 @@
 
 
 class PacketReturned(Struct, frozen=True, kw_only=True, array_like=True):
-    """An opening packet that the agent's upstream did not take.
+    """A SYN that the agent's upstream did not accept.
 
     Attributes
     ----------
     packet : bytes
-        The packet, as it came from the caller.
+        The packet as the caller sent it.
     """
 
     packet: bytes
@@ -209,14 +209,14 @@
 
 
 class OpenFlow(Struct, frozen=True, kw_only=True, array_like=True):
-    """A flow that a caller may be waiting on, as its balancer knows it.
+    """A flow whose caller may wait for an answer, as its balancer knows it.
 
     Attributes
     ----------
     host, boot : str
-        The agent that holds it, and the run of the upstream that took it.
+        The agent whose upstream holds the flow, and the boot of the upstream.
     caller_ack : int
-        What the caller expects next, as its last packet said.
+        Sequence number that the caller expects next, by its last packet.
     """
 
     flow: bytes
@@ -227,12 +227,13 @@
 
 
 class CheckpointPart(Struct, frozen=True, kw_only=True, array_like=True):
-    """Open flows of one balancer, for the one that stores those of all.
+    """Open flows of one balancer, for the balancer that stores those of all.
 
     Attributes
     ----------
     number : int
-        Messages of one number belong together; the next number replaces them.
+        Number of the list of flows, of which this message is a part; a list with a
+        higher number replaces it.
     """
 
     number: int
@@ -274,7 +275,7 @@
 
 
 def split_into_chunks(items: list[T], size: int) -> list[list[T]]:
-    """Return a list in parts of at most `size`; one empty part where there is nothing.
+    """Split a list into chunks of at most `size`; one empty chunk for an empty list.
 
     Examples
     --------
@@ -288,7 +289,7 @@
 
 
 def encode_message(message: Message) -> bytes:
-    """Return the octets of a message.
+    """Encode a message.
 
     Examples
     --------
@@ -299,34 +300,34 @@
 
 
 def decode_message(data: bytes) -> Message:
-    """Read a message.
+    """Decode a message.
 
     Raises
     ------
     DecodeError
-        If the octets are not a message of a known class.
+        If the data is not a message of a known class.
     """
     if not data or data[0] >= len(_DECODERS):
-        raise DecodeError(f"no message class {data[:1]!r}")
+        raise DecodeError(f"unknown message class {data[:1]!r}")
     try:
         return _DECODERS[data[0]].decode(data[1:])
     except msgspec.MsgspecError as error:
-        raise DecodeError(f"not a message: {error}") from error
+        raise DecodeError(f"malformed message: {error}") from error
 
 
 def dump_report(report: NodeReport) -> dict:
-    """Return a report in the JSON form that the platform's store keeps."""
+    """Return the JSON value of a report for the platform's store."""
     value = msgspec.structs.asdict(report)
     value["load"] = msgspec.structs.asdict(report.load)
     return msgspec.to_builtins(value)
 
 
 def load_report(value: object) -> NodeReport:
-    """Read a report from its JSON form; raises `DecodeError`."""
+    """Decode a report from its JSON value; raises `DecodeError`."""
     try:
         fields = dict(value)  # type: ignore[call-overload]
         fields["load"] = [fields["load"][name] for name in Load.__struct_fields__]
         ordered = [fields[name] for name in NodeReport.__struct_fields__]
         return msgspec.convert(ordered, NodeReport)
     except (msgspec.MsgspecError, LookupError, TypeError, ValueError) as error:
-        raise DecodeError(f"not a node's report: {error!r}") from error
+        raise DecodeError(f"malformed report: {error!r}") from error
--- a/shedsill/datagram/_reducer.py
+++ b/shedsill/datagram/_reducer.py
@@ -1,7 +1,7 @@
-"""The one reducer for nodes that carry opaque flows.
+"""Reducer of nodes that carry opaque flows.
 
-It has no clock, randomness, socket or store inside; it changes the state that
-it is given and returns what has to be done.
+It uses no clock, random numbers, sockets or store; it updates the state in place and
+returns the effects to execute.
 """
 
 from __future__ import annotations
@@ -46,22 +46,22 @@
 def reduce(
     state: BalancerState | AgentState, event: Event, returned: Packet | None = None
 ) -> list[Effect]:
-    """Take in one event and return what has to be done.
+    """Handle one event and return the effects to execute.
 
     Parameters
     ----------
     state : BalancerState or AgentState
         Changed in place.
     returned : Packet or None
-        The packet inside a `PacketReturned`, decoded.
+        The decoded packet of a `PacketReturned`.
 
     Raises
     ------
     InvariantError
-        If the event cannot happen to a node of this role.
+        If the event is not one of this node's role.
     """
     if isinstance(event, SettingsChanged):
-        return _take_settings(state, event)
+        return _update_settings(state, event)
     match state:
         case BalancerState():
             return _reduce_balancer(state, event, returned)
@@ -69,7 +69,7 @@
             return _reduce_agent(state, event)
 
 
-def _take_settings(
+def _update_settings(
     state: BalancerState | AgentState, event: SettingsChanged
 ) -> list[Effect]:
     state.seeds = event.seeds
@@ -106,7 +106,7 @@
         case StopRequested():
             return _balancer.handle_stop(state, event)
         case _:
-            raise InvariantError(f"a balancer was given {type(event).__name__}")
+            raise InvariantError(f"{type(event).__name__} is not a balancer's event")
 
 
 def _reduce_agent(state: AgentState, event: Event) -> list[Effect]:
@@ -132,4 +132,4 @@
         case StopRequested():
             return _agent.handle_stop(state, event)
         case _:
-            raise InvariantError(f"an agent was given {type(event).__name__}")
+            raise InvariantError(f"{type(event).__name__} is not an agent's event")
--- a/shedsill/datagram/adapter.py
+++ b/shedsill/datagram/adapter.py
@@ -1,7 +1,7 @@
-"""What a hosting platform's adapter provides to nodes that carry opaque flows.
+"""Interfaces that a hosting platform's adapter implements for nodes of opaque flows.
 
-An adapter has a `PacketCodec`, a `TableCodec`, the node's `NodeSettings` and an
-implementation of `shedsill.coordination.platform.Platform`.
+An adapter provides a `SettingsSource`, a `PacketCodec`, a `TableSource`, a
+`HeartbeatCodec` and an implementation of `shedsill.coordination.platform.Platform`.
 """
 
 from __future__ import annotations
@@ -32,32 +32,34 @@
     Attributes
     ----------
     host : str
-        IP number of the VM.
+        IP address of the VM.
     packets : Address
-        Where packets come in: from callers at a balancer, from balancers at an
+        Address that receives packets: of callers at a balancer, of balancers at an
         agent.
     messages : Address
-        Where messages of other nodes come in; the port is the same everywhere.
+        Address that receives messages of other nodes; all nodes use the same port.
     agent_port : int
         Port of `packets` on agents.
     caller_port : int
-        Port at which callers take packets.
+        Port on which callers receive packets.
     status : Address
-        Where ``GET`` of the readiness path is answered.
+        Address of the HTTP server that answers readiness checks.
     readiness_path : str
-        The path by which routers ask whether this node is ready.
+        Path of readiness checks.
     heartbeats : Address or None
-        Where heartbeats of upstreams are taken.
+        Address that receives heartbeats of the upstream, if any.
     upstream, outbound : Address or None
-        The upstream's address, and where it sends its packets; agents only.
+        The upstream's address, and the one to which it sends its packets; agents only.
+    metrics : Address or None
+        Address of the HTTP server that answers with metrics, if any.
     seeds : tuple of str
-        Hosts of balancers, some of which may be gone.
+        Hosts of balancers; some may no longer exist.
     first_start : bool
         Whether no flow can be older than this process.
     flow_lifetime : float
-        Seconds after which a flow may be forgotten.
+        Seconds after which an idle flow is removed.
     stop_limit : float
-        Seconds in which a planned stop must end.
+        Seconds after which a planned stop ends the process.
     """
 
     name: str
@@ -82,44 +84,44 @@
 
 
 class SettingsSource(Protocol):
-    """Where a node's settings come from."""
+    """Source of a node's settings."""
 
     def read(self) -> NodeSettings:
-        """Read and check the settings; raises `SettingError`."""
+        """Read and validate the settings; raises `SettingError`."""
         ...
 
     def has_changed(self) -> bool:
-        """Whether the settings may differ from those read last."""
+        """Whether the settings may have changed since they were last read."""
         ...
 
 
 class PacketCodec(Protocol):
-    """Reads and writes the packets of one platform."""
+    """Decodes and encodes the packets of one platform."""
 
     def decode_caller(self, data: bytes) -> Packet | None:
-        """Read a packet from a caller; None if it is not one."""
+        """Decode a packet of a caller; None if it is malformed."""
         ...
 
     def decode_forwarded(self, data: bytes) -> tuple[Packet, int] | None:
-        """Read a packet from a balancer, and the number of its service."""
+        """Decode a balancer's packet and the number of its service."""
         ...
 
     def decode_upstream(self, data: bytes) -> Packet | None:
-        """Read a packet from an upstream, or one that it bounced."""
+        """Decode a packet of an upstream, or one that it bounced."""
         ...
 
     def encode_forwarded(
         self, packet: Packet, service: int, route: Route | None
     ) -> bytes:
-        """Write a caller's packet for an agent."""
+        """Encode a caller's packet for an agent."""
         ...
 
     def encode_for_upstream(self, packet: Packet, balancer: str) -> bytes:
-        """Write a caller's packet for the upstream."""
+        """Encode a caller's packet for the upstream."""
         ...
 
     def encode_reset(self, flow: bytes, seq: int) -> bytes:
-        """Write a reset of this system's own for a caller."""
+        """Encode a reset of a flow for its caller."""
         ...
 
     def get_caller_host(self, flow: bytes) -> str:
@@ -127,17 +129,19 @@
         ...
 
     def describe_flow(self, flow: bytes) -> str:
-        """Return the flow's address pair as text, for the log."""
+        """Return the flow's address pair in the form that the log uses."""
         ...
 
 
 class TableSource(Struct, frozen=True, kw_only=True):
-    """Where the operator's forwarding table is kept, and how it is read.
+    """Location and format of the operator's forwarding table in the platform's store.
 
     Attributes
     ----------
+    kind, name : str
+        Kind and name of the stored object.
     decode : callable
-        Makes a `ForwardingTable` of the stored value; raises `DecodeError`.
+        Decodes the stored value; raises `DecodeError`.
     """
 
     kind: str
@@ -146,10 +150,13 @@
 
 
 class HeartbeatCodec(Protocol):
-    """Reads the calls by which an upstream tells its state."""
+    """Decodes the HTTP requests by which an upstream reports its state."""
 
     def decode_call(
         self, method: str, path: str, body: bytes, now: float
     ) -> Heartbeat | UpstreamLeaving | None:
-        """Read one call; None if it is not of these, `DecodeError` if broken."""
+        """Decode one request; None if it is another one.
+
+        Raises `DecodeError` if it is malformed.
+        """
         ...
