--- a/shedsill/tests/test_datagram_backlog.py
+++ b/shedsill/tests/test_datagram_backlog.py
@@ -1,4 +1,4 @@
-"""Which held request is next, without an agent around it."""
+"""Choice of the next queued request."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 SLOTS = 2
 
 
-def make_forecast(now: float, **parts) -> Forecast:
+def build_forecast(now: float, **parts) -> Forecast:
     fields = {
         "slots": SLOTS,
         "cold_until": 0.0,
@@ -29,7 +29,7 @@
     return Forecast(now=now, **fields)
 
 
-def add(
+def queue_request(
     backlog: Backlog,
     flow: bytes,
     asked: float,
@@ -49,13 +49,13 @@
     add_request(backlog, flow, request)
 
 
-def take(backlog: Backlog, forecast: Forecast) -> bytes:
+def take_next(backlog: Backlog, forecast: Forecast) -> bytes:
     flow = choose_next_request(backlog, forecast)
     del backlog.requests[flow]
     return flow
 
 
-def serve(
+def run_queue(
     backlog: Backlog,
     start: float,
     end: float,
@@ -64,15 +64,15 @@
     objective: float = 0.2,
     timeout: float = 2.0,
 ) -> dict[bytes, float]:
-    """Serve at the upstream's pace while a request comes each `gap` seconds.
+    """Start the next request whenever a slot is free while new ones arrive.
 
-    Returns when each request was started.
+    Returns when each request was started.  A request arrives each `gap` seconds.
     """
     started = {}
     now, number, next_arrival = start, 0, start
     while now < end:
         while gap and next_arrival <= now:
-            add(
+            queue_request(
                 backlog,
                 b"new%d" % number,
                 next_arrival,
@@ -82,61 +82,61 @@
             number += 1
             next_arrival += gap
         if backlog.requests:
-            started[take(backlog, make_forecast(now))] = now
+            started[take_next(backlog, build_forecast(now))] = now
         now += SERVICE / SLOTS
     return started
 
 
-def test_a_fresh_request_goes_before_a_late_one_that_has_time() -> None:
+def test_fresh_request_is_chosen_before_late_one_with_time_left() -> None:
     backlog = Backlog()
-    add(backlog, b"late", 0.0)
-    add(backlog, b"fresh", 1.0)
-    assert take(backlog, make_forecast(1.0)) == b"fresh"
+    queue_request(backlog, b"late", 0.0)
+    queue_request(backlog, b"fresh", 1.0)
+    assert take_next(backlog, build_forecast(1.0)) == b"fresh"
 
 
-def test_a_request_is_late_once_it_cannot_be_answered_in_time() -> None:
+def test_request_is_late_once_it_cannot_meet_its_objective() -> None:
     backlog = Backlog()
-    add(backlog, b"urgent, late", 0.0, urgency=0)
-    add(backlog, b"fresh", 0.1)
+    queue_request(backlog, b"urgent, late", 0.0, urgency=0)
+    queue_request(backlog, b"fresh", 0.1)
     now = 0.2 - SERVICE / 2
-    assert take(backlog, make_forecast(now)) == b"fresh"
+    assert take_next(backlog, build_forecast(now)) == b"fresh"
 
 
-def test_a_late_request_goes_at_the_last_moment_that_saves_it() -> None:
+def test_late_request_is_chosen_at_last_moment_before_its_deadline() -> None:
     backlog = Backlog()
-    add(backlog, b"late", 0.0)
-    add(backlog, b"fresh", 1.8)
-    assert choose_next_request(backlog, make_forecast(1.8)) == b"fresh"
-    assert choose_next_request(backlog, make_forecast(1.9)) == b"late"
+    queue_request(backlog, b"late", 0.0)
+    queue_request(backlog, b"fresh", 1.8)
+    assert choose_next_request(backlog, build_forecast(1.8)) == b"fresh"
+    assert choose_next_request(backlog, build_forecast(1.9)) == b"late"
 
 
-def test_many_late_requests_begin_sooner() -> None:
-    """Thirty of them take 0.75 s, so that the last moment comes earlier."""
+def test_many_late_requests_are_chosen_earlier() -> None:
+    """Thirty of them take 0.75 s, so that the last moment is earlier."""
     backlog = Backlog()
     for number in range(30):
-        add(backlog, b"late%d" % number, number / 1000)
-    add(backlog, b"fresh", 1.2)
-    assert choose_next_request(backlog, make_forecast(1.0)) == b"fresh"
-    assert choose_next_request(backlog, make_forecast(1.25)) == b"late0"
+        queue_request(backlog, b"late%d" % number, number / 1000)
+    queue_request(backlog, b"fresh", 1.2)
+    assert choose_next_request(backlog, build_forecast(1.0)) == b"fresh"
+    assert choose_next_request(backlog, build_forecast(1.25)) == b"late0"
 
 
-def test_cold_upstreams_are_expected_to_become_faster() -> None:
+def test_forecast_expects_cold_upstream_to_become_faster() -> None:
     backlog = Backlog()
     for number in range(18):
-        add(backlog, b"late%d" % number, number / 1000)
-    add(backlog, b"fresh", 1.0)
-    warm_soon = make_forecast(1.0, cold_until=1.1)
-    cold_for_long = make_forecast(1.0, cold_until=3.0)
+        queue_request(backlog, b"late%d" % number, number / 1000)
+    queue_request(backlog, b"fresh", 1.0)
+    warm_soon = build_forecast(1.0, cold_until=1.1)
+    cold_for_long = build_forecast(1.0, cold_until=3.0)
     assert choose_next_request(backlog, warm_soon) == b"fresh"
     assert choose_next_request(backlog, cold_for_long) == b"late0"
 
 
-def test_a_backlog_that_ends_loses_no_request_that_can_be_saved() -> None:
-    """After a restart sixty requests wait, and others come at half of the pace."""
+def test_temporary_backlog_loses_no_feasible_request() -> None:
+    """Sixty requests are queued, and others arrive at half the service rate."""
     backlog = Backlog()
     for number in range(60):
-        add(backlog, b"old%d" % number, number / 1000)
-    started = serve(backlog, 0.5, 6.0, gap=SERVICE)
+        queue_request(backlog, b"old%d" % number, number / 1000)
+    started = run_queue(backlog, 0.5, 6.0, gap=SERVICE)
     for number in range(60):
         assert started[b"old%d" % number] + SERVICE <= 2.0 + number / 1000
     for number in range(60):
@@ -144,21 +144,21 @@
         assert started[b"new%d" % number] + SERVICE <= asked + 2.0
 
 
-def test_fresh_requests_are_in_time_again_once_the_late_ones_have_gone() -> None:
+def test_fresh_requests_meet_objective_again_after_late_ones() -> None:
     backlog = Backlog()
     for number in range(40):
-        add(backlog, b"old%d" % number, number / 1000)
-    started = serve(backlog, 0.5, 6.0, gap=SERVICE)
+        queue_request(backlog, b"old%d" % number, number / 1000)
+    started = run_queue(backlog, 0.5, 6.0, gap=SERVICE)
     in_time = [started[b"new%d" % n] - (0.5 + n * SERVICE) < 0.15 for n in range(90)]
     assert all(in_time[40:])
 
 
-def test_lasting_overload_leaves_most_fresh_requests_in_time() -> None:
-    """At twice the pace for ten timeouts, at least two thirds of what is served
-    after the first is served in time, and late ones are served too."""
+def test_most_answers_meet_objective_under_lasting_overload() -> None:
+    """At twice the service rate for ten timeouts, two thirds of the answers after the
+    first two timeouts meet their objective, and late requests are answered too."""
     backlog = Backlog()
     gap = SERVICE / SLOTS / 2
-    started = serve(backlog, 0.0, 20.0, gap=gap)
+    started = run_queue(backlog, 0.0, 20.0, gap=gap)
     waits = [
         now - int(flow[3:]) * gap for flow, now in started.items() if now > 2 * 2.0
     ]
@@ -167,82 +167,81 @@
     assert in_time < 1.0
 
 
-def test_no_slot_goes_to_a_request_that_cannot_be_saved() -> None:
+def test_infeasible_request_is_chosen_last() -> None:
     backlog = Backlog()
-    add(backlog, b"lost", 0.0)
-    add(backlog, b"late", 1.0)
-    add(backlog, b"fresh", 1.99)
-    assert take(backlog, make_forecast(1.99)) == b"fresh"
-    assert take(backlog, make_forecast(1.99)) == b"late"
-    assert take(backlog, make_forecast(1.99)) == b"lost"
+    queue_request(backlog, b"lost", 0.0)
+    queue_request(backlog, b"late", 1.0)
+    queue_request(backlog, b"fresh", 1.99)
+    assert take_next(backlog, build_forecast(1.99)) == b"fresh"
+    assert take_next(backlog, build_forecast(1.99)) == b"late"
+    assert take_next(backlog, build_forecast(1.99)) == b"lost"
 
 
-def test_the_least_urgent_are_left_out_where_not_all_can_be_saved() -> None:
+def test_least_urgent_is_excluded_if_not_all_are_feasible() -> None:
     backlog = Backlog()
-    add(backlog, b"urgent", 0.0, urgency=0)
-    add(backlog, b"page", 0.0, urgency=2)
+    queue_request(backlog, b"urgent", 0.0, urgency=0)
+    queue_request(backlog, b"page", 0.0, urgency=2)
     now = 2.0 - SERVICE
-    assert take(backlog, make_forecast(now, slots=1)) == b"urgent"
+    assert take_next(backlog, build_forecast(now, slots=1)) == b"urgent"
 
 
-def test_nothing_is_rescued_before_the_pace_is_known() -> None:
+def test_fresh_request_is_chosen_while_service_time_is_unknown() -> None:
     backlog = Backlog()
-    add(backlog, b"late", 0.0)
-    add(backlog, b"fresh", 1.9)
-    unknown = make_forecast(1.95, cold_service_time=0.0, service_time=0.0)
+    queue_request(backlog, b"late", 0.0)
+    queue_request(backlog, b"fresh", 1.9)
+    unknown = build_forecast(1.95, cold_service_time=0.0, service_time=0.0)
     assert choose_next_request(backlog, unknown) == b"fresh"
 
 
 @pytest.mark.parametrize("cold_until", [0.0, 0.5, 9.0])
-def test_starts_are_forecast_in_order(cold_until: float) -> None:
-    forecast = make_forecast(0.0, cold_until=cold_until)
+def test_forecast_starts_are_in_order(cold_until: float) -> None:
+    forecast = build_forecast(0.0, cold_until=cold_until)
     starts = [forecast.estimate_start(position) for position in range(50)]
     assert starts == sorted(starts)
     assert starts[0] == 0.0
 
 
-def test_a_request_whose_caller_has_closed_goes_last() -> None:
+def test_request_of_closed_caller_is_chosen_last() -> None:
     backlog = Backlog()
-    add(backlog, b"closed", 0.9)
-    add(backlog, b"lost", 0.0)
+    queue_request(backlog, b"closed", 0.9)
+    queue_request(backlog, b"lost", 0.0)
     backlog.requests[b"closed"].caller_closed = True
     now = 2.0
-    assert take(backlog, make_forecast(now)) == b"lost"
-    assert take(backlog, make_forecast(now)) == b"closed"
+    assert take_next(backlog, build_forecast(now)) == b"lost"
+    assert take_next(backlog, build_forecast(now)) == b"closed"
 
 
-def test_a_closed_request_takes_no_slot_of_one_that_can_be_saved() -> None:
+def test_request_of_closed_caller_is_chosen_after_feasible_one() -> None:
     backlog = Backlog()
-    add(backlog, b"closed", 0.0)
-    add(backlog, b"late", 0.5)
+    queue_request(backlog, b"closed", 0.0)
+    queue_request(backlog, b"late", 0.5)
     backlog.requests[b"closed"].caller_closed = True
-    assert take(backlog, make_forecast(1.0)) == b"late"
+    assert take_next(backlog, build_forecast(1.0)) == b"late"
 
 
-def test_a_caller_that_may_have_tried_before_is_served_earlier() -> None:
-    """Found after power losses: a third of the callers in the queue had spent 1.5 s
-    of their 2.5 s on a try that nobody saw, and gave up before their turn."""
+def test_possible_retry_is_chosen_before_its_earlier_deadline() -> None:
+    """Callers that had spent part of their timeout on a lost attempt gave up first."""
     backlog = Backlog(syn_lost_at=1.0)
-    add(backlog, b"again", 1.1, timeout=2.5)
-    add(backlog, b"fresh", 1.9, timeout=2.5)
+    queue_request(backlog, b"again", 1.1, timeout=2.5)
+    queue_request(backlog, b"fresh", 1.9, timeout=2.5)
     due = 1.1 + 2.5 - EARLIER_ATTEMPT_SECONDS - 2 * SERVICE
-    assert choose_next_request(backlog, make_forecast(due - 0.05)) == b"fresh"
-    assert choose_next_request(backlog, make_forecast(due + 0.01)) == b"again"
+    assert choose_next_request(backlog, build_forecast(due - 0.05)) == b"fresh"
+    assert choose_next_request(backlog, build_forecast(due + 0.01)) == b"again"
 
 
-def test_a_caller_that_is_still_there_had_not_tried_before() -> None:
+def test_request_past_earlier_deadline_is_no_retry() -> None:
     backlog = Backlog(syn_lost_at=1.0)
-    add(backlog, b"patient", 1.1, timeout=2.5)
+    queue_request(backlog, b"patient", 1.1, timeout=2.5)
     now = 1.1 + 2.5 - EARLIER_ATTEMPT_SECONDS
-    add(backlog, b"fresh", now, timeout=2.5)
-    assert choose_next_request(backlog, make_forecast(now)) == b"fresh"
+    queue_request(backlog, b"fresh", now, timeout=2.5)
+    assert choose_next_request(backlog, build_forecast(now)) == b"fresh"
 
 
 @pytest.mark.parametrize(("asked", "expected"), [(1.8, True), (2.0, False)])
-def test_only_callers_soon_after_a_lost_opening_may_have_tried_before(
+def test_request_may_be_retry_only_soon_after_lost_syn(
     asked: float, expected: bool
 ) -> None:
-    """Whose last copy was lost, 0.6 s after the first, tries again 0.9 s later."""
+    """After its last copy is lost, 0.6 s after the first, a caller retries in 0.9 s."""
     backlog = Backlog(syn_lost_at=1.0)
-    add(backlog, b"f", asked)
+    queue_request(backlog, b"f", asked)
     assert backlog.requests[b"f"].may_be_retry is expected
--- a/shedsill/tests/test_datagram_heartbeats.py
+++ b/shedsill/tests/test_datagram_heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats that arrive late, of runs that have ended."""
+"""Delayed heartbeats of ended boots, and heartbeats of new ones."""
 
 from __future__ import annotations
 
@@ -34,19 +34,19 @@
 
 @pytest.fixture
 def agent() -> AgentState:
-    """An agent that has started beside the run i-2, of which i-1 was the last."""
+    """An agent that has started during the boot i-2, which follows i-1."""
     state = make_agent_state(slots=0)
     state.report = replace(
         state.report, boot="", state=UpstreamState.UNKNOWN, incarnation=7
     )
-    beat(state, "i-2", 5, 1.0)
+    send_heartbeat(state, "i-2", 5, 1.0)
     state.flows[b"f"] = AgentFlow(
         phase=Phase.OPEN, last_packet_at=1.0, balancer="10.0.0.1"
     )
     return state
 
 
-def beat(
+def send_heartbeat(
     state: AgentState,
     boot: str,
     serial: int,
@@ -57,78 +57,77 @@
     return handle_heartbeat(state, HeartbeatReceived(heartbeat=heartbeat, now=now))
 
 
-def is_unmoved(state: AgentState, effects: list[Effect]) -> bool:
+def is_unchanged(state: AgentState, effects: list[Effect]) -> bool:
     resets = [e for e in effects if isinstance(e, ResetFlow)]
     ready = state.report.state == UpstreamState.READY
     return state.report.boot == "i-2" and ready and b"f" in state.flows and not resets
 
 
 @pytest.mark.parametrize("upstream", [UpstreamState.READY, UpstreamState.DRAINING])
-def test_a_late_heartbeat_of_an_earlier_run_changes_nothing(
+def test_late_heartbeat_of_earlier_boot_is_ignored(
     agent: AgentState, upstream: UpstreamState
 ) -> None:
-    """An agent that has just started took it for a new run and reset every flow."""
-    assert is_unmoved(agent, beat(agent, "i-1", 9, 1.2, upstream))
+    """A new agent must not take it for a new boot and reset all flows."""
+    assert is_unchanged(agent, send_heartbeat(agent, "i-1", 9, 1.2, upstream))
 
 
-def test_two_late_heartbeats_change_nothing(agent: AgentState) -> None:
-    assert is_unmoved(agent, beat(agent, "i-1", 9, 1.2))
-    assert is_unmoved(agent, beat(agent, "i-1", 10, 1.3))
-    assert is_unmoved(agent, beat(agent, "i-2", 6, 2.2))
+def test_two_late_heartbeats_are_ignored(agent: AgentState) -> None:
+    assert is_unchanged(agent, send_heartbeat(agent, "i-1", 9, 1.2))
+    assert is_unchanged(agent, send_heartbeat(agent, "i-1", 10, 1.3))
+    assert is_unchanged(agent, send_heartbeat(agent, "i-2", 6, 2.2))
 
 
-def test_the_run_that_the_store_knew_before_is_never_taken_up_again() -> None:
+def test_heartbeat_of_stored_earlier_boot_is_ignored() -> None:
     state = make_agent_state(slots=0)
     state.report = replace(state.report, boot="", incarnation=7)
     earlier = replace(state.report, incarnation=3, boot="i-1")
-    beat(state, "i-2", FIRST_SERIAL, 1.0)
+    send_heartbeat(state, "i-2", FIRST_SERIAL, 1.0)
     handle_earlier_report(
         state, EarlierReportRead(report=earlier, at_start=True, now=1.1)
     )
-    beat(state, "i-1", 9, 1.0 + BOOT_SILENCE_SECONDS + 0.1)
+    send_heartbeat(state, "i-1", 9, 1.0 + BOOT_SILENCE_SECONDS + 0.1)
     assert state.report.boot == "i-2"
 
 
-def test_a_living_run_is_believed_after_a_late_heartbeat_of_another() -> None:
-    """The late one came first after the agent's start."""
+def test_current_boot_is_accepted_after_late_heartbeat_of_earlier_one() -> None:
+    """The late heartbeat is the first one after the agent's start."""
     state = make_agent_state(slots=0)
     state.report = replace(state.report, boot="", incarnation=7)
     earlier = replace(state.report, incarnation=3, boot="i-2")
-    beat(state, "i-1", 9, 1.0)
+    send_heartbeat(state, "i-1", 9, 1.0)
     handle_earlier_report(
         state, EarlierReportRead(report=earlier, at_start=True, now=1.1)
     )
-    beat(state, "i-2", 6, 1.0 + BOOT_SILENCE_SECONDS)
+    send_heartbeat(state, "i-2", 6, 1.0 + BOOT_SILENCE_SECONDS)
     assert state.report.boot == "i-2"
 
 
-def test_a_new_run_is_taken_up_with_its_first_heartbeat(agent: AgentState) -> None:
-    effects = beat(agent, "i-3", FIRST_SERIAL, 1.2)
+def test_new_boot_is_accepted_with_its_first_heartbeat(agent: AgentState) -> None:
+    effects = send_heartbeat(agent, "i-3", FIRST_SERIAL, 1.2)
     assert agent.report.boot == "i-3"
     assert any(isinstance(e, ResetFlow) for e in effects)
 
 
-def test_a_new_run_whose_first_heartbeat_was_lost_is_taken_up_later(
+def test_new_boot_is_accepted_after_silence_if_first_heartbeat_was_lost(
     agent: AgentState,
 ) -> None:
-    assert is_unmoved(agent, beat(agent, "i-3", 2, 1.5))
-    beat(agent, "i-3", 4, 1.0 + BOOT_SILENCE_SECONDS)
+    assert is_unchanged(agent, send_heartbeat(agent, "i-3", 2, 1.5))
+    send_heartbeat(agent, "i-3", 4, 1.0 + BOOT_SILENCE_SECONDS)
     assert agent.report.boot == "i-3"
 
 
-def test_a_new_run_is_taken_up_where_the_last_one_is_known_to_be_dead(
+def test_new_boot_is_accepted_at_once_if_upstream_is_unresponsive(
     agent: AgentState,
 ) -> None:
     agent.report = replace(agent.report, state=UpstreamState.UNRESPONSIVE)
-    beat(agent, "i-3", 2, 1.5)
+    send_heartbeat(agent, "i-3", 2, 1.5)
     assert agent.report.boot == "i-3"
 
 
-def test_a_flow_that_a_new_run_took_before_its_first_heartbeat_is_kept(
+def test_flow_taken_by_new_boot_before_its_first_heartbeat_is_kept(
     agent: AgentState,
 ) -> None:
-    """Found in a hunt: a flow was opened 13 ms after the run's start and reset by its
-    first heartbeat."""
+    """A boot takes flows before its first heartbeat, which must not reset them."""
     agent.flows[b"new"] = AgentFlow(
         phase=Phase.OPEN,
         last_packet_at=2.0,
@@ -138,16 +137,16 @@
         running=True,
     )
     agent.busy = agent.running = 1
-    effects = beat(agent, "i-3", FIRST_SERIAL, 2.013)
+    effects = send_heartbeat(agent, "i-3", FIRST_SERIAL, 2.013)
     assert [e.flow for e in effects if isinstance(e, ResetFlow)] == [b"f"]
     assert list(agent.flows) == [b"new"]
     assert agent.busy == agent.running == 1
 
 
-def test_requests_held_for_a_new_run_get_the_slots_of_the_last_one(
+def test_queued_requests_get_slots_of_ended_boot(
     agent: AgentState,
 ) -> None:
-    """Nothing else would pass them on: no request of the new run ends."""
+    """Nothing else would send them: no request of the new boot ends."""
     packet = CODEC.decode_caller(make_packet(CALLER, SERVICE, 0, content=b"x"))
     assert packet is not None
     dead = agent.flows[b"f"]
@@ -168,13 +167,13 @@
         deadline_at=9.0,
     )
     agent.busy, agent.running = 2, 1
-    effects = beat(agent, "i-3", FIRST_SERIAL, 2.0)
+    effects = send_heartbeat(agent, "i-3", FIRST_SERIAL, 2.0)
     assert [e.packet for e in effects if isinstance(e, SendToUpstream)] == [packet]
     assert agent.busy == agent.running == 1
 
 
-async def answer_heartbeats(*beats: tuple[str, int, str]) -> list[int]:
-    """Send heartbeats to an agent's server; return the statuses of its answers."""
+async def send_heartbeats_over_http(*beats: tuple[str, int, str]) -> list[int]:
+    """Handle heartbeat requests at an agent; return the status codes of its answers."""
     host, ports = "127.0.0.4", find_ports(PORTS + 2)
     settings = make_settings(
         host,
@@ -194,7 +193,7 @@
     try:
         return [
             node._handle_heartbeat_call(
-                "PUT", f"/-/instances/{boot}", make_body(serial, state)
+                "PUT", f"/-/instances/{boot}", build_heartbeat_body(serial, state)
             ).status
             for boot, serial, state in beats
         ]
@@ -202,7 +201,7 @@
         node._close()
 
 
-def make_body(serial: int, state: str) -> bytes:
+def build_heartbeat_body(serial: int, state: str) -> bytes:
     value = {
         "service": "dispatcher",
         "addr": "127.0.0.4:1",
@@ -216,10 +215,10 @@
     return json.dumps(value).encode()
 
 
-def test_a_late_heartbeat_that_drains_is_not_confirmed() -> None:
-    """Its sender has ended, and nothing was drained."""
+def test_late_draining_heartbeat_is_answered_with_conflict() -> None:
+    """Its sender has ended, and the current boot is not drained."""
     statuses = asyncio.run(
-        answer_heartbeats(
+        send_heartbeats_over_http(
             ("i-2", FIRST_SERIAL, "ready"),
             ("i-1", 9, "draining"),
             ("i-1", 10, "ready"),
--- a/shedsill/tests/test_datagram_overload.py
+++ b/shedsill/tests/test_datagram_overload.py
@@ -1,4 +1,4 @@
-"""Openings that no upstream can answer in time are refused at once."""
+"""Early refusal of flows whose requests no upstream can answer in time."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 SLOTS = 2
 SERVICE_TIME = 0.1
 TIMEOUT = 2.0
-SERVABLE = int(TIMEOUT * SLOTS / SERVICE_TIME) - SLOTS - 1
-"""Requests that can be answered before one that comes now gives up."""
+FEASIBLE_REQUESTS = int(TIMEOUT * SLOTS / SERVICE_TIME) - SLOTS - 1
+"""Queued requests with which a new one can still meet its deadline."""
 
 
-def overload(state: AgentState, requests: int, now: float) -> None:
-    """Let an agent hold many requests whose upstream needs `SERVICE_TIME` for each."""
+def queue_requests(state: AgentState, requests: int, now: float) -> None:
+    """Queue requests at an agent whose upstream takes `SERVICE_TIME` for each."""
     state.report = replace(state.report, load=Load(slots=SLOTS))
     record_answer(state.health, SERVICE_TIME, now)
     for number in range(requests):
@@ -38,52 +38,53 @@
         add_request(state.backlog, b"held%d" % number, request)
 
 
-def make_opening(*, copy: int = 0, timeout: float = TIMEOUT) -> Packet:
+def build_syn(*, copy: int = 0, timeout: float = TIMEOUT) -> Packet:
     return Packet(
         b"f", b"e", SYN, copy, seq=1, ack=copy, length=0, data=b"", timeout=timeout
     )
 
 
 @pytest.mark.parametrize(
-    ("held", "expected"), [(0, True), (SERVABLE, True), (SERVABLE + SLOTS + 1, False)]
+    ("held", "expected"),
+    [(0, True), (FEASIBLE_REQUESTS, True), (FEASIBLE_REQUESTS + SLOTS + 1, False)],
 )
-def test_an_opening_is_taken_while_it_can_be_answered(
+def test_syn_is_accepted_while_request_can_meet_deadline(
     held: int, expected: bool
 ) -> None:
     state = make_agent_state(slots=SLOTS)
-    overload(state, held, 1.0)
-    assert _slots.can_answer_in_time(state, make_opening(), 1.0) is expected
+    queue_requests(state, held, 1.0)
+    assert _slots.can_answer_in_time(state, build_syn(), 1.0) is expected
 
 
-def test_a_caller_that_has_waited_has_less_time_left() -> None:
+def test_copy_of_syn_has_less_time_left() -> None:
     state = make_agent_state(slots=SLOTS)
-    overload(state, SERVABLE, 1.0)
-    assert not _slots.can_answer_in_time(state, make_opening(copy=2), 1.0)
+    queue_requests(state, FEASIBLE_REQUESTS, 1.0)
+    assert not _slots.can_answer_in_time(state, build_syn(copy=2), 1.0)
 
 
-def test_an_opening_without_a_known_timeout_is_taken() -> None:
+def test_syn_without_known_timeout_is_accepted() -> None:
     state = make_agent_state(slots=SLOTS)
-    overload(state, 10 * SERVABLE, 1.0)
-    assert _slots.can_answer_in_time(state, make_opening(timeout=0.0), 1.0)
+    queue_requests(state, 10 * FEASIBLE_REQUESTS, 1.0)
+    assert _slots.can_answer_in_time(state, build_syn(timeout=0.0), 1.0)
 
 
-def test_requests_whose_callers_have_closed_do_not_count() -> None:
+def test_requests_of_closed_callers_do_not_count() -> None:
     state = make_agent_state(slots=SLOTS)
-    overload(state, 10 * SERVABLE, 1.0)
+    queue_requests(state, 10 * FEASIBLE_REQUESTS, 1.0)
     for request in state.backlog.requests.values():
         request.caller_closed = True
-    assert _slots.can_answer_in_time(state, make_opening(), 1.0)
+    assert _slots.can_answer_in_time(state, build_syn(), 1.0)
 
 
-def test_nothing_is_refused_before_the_pace_is_known() -> None:
+def test_syn_is_accepted_while_service_time_is_unknown() -> None:
     state = make_agent_state(slots=SLOTS)
-    overload(state, 10 * SERVABLE, 1.0)
+    queue_requests(state, 10 * FEASIBLE_REQUESTS, 1.0)
     state.health.warm.answers = 0
     state.health.warm.seconds = 0.0
-    assert _slots.can_answer_in_time(state, make_opening(), 1.0)
+    assert _slots.can_answer_in_time(state, build_syn(), 1.0)
 
 
-def make_world(upstreams: int, overloaded: int) -> World:
+def build_world(upstreams: int, overloaded: int) -> World:
     world = World(services=("dispatcher",))
     hosts = [f"10.1.0.{number}" for number in range(1, upstreams + 1)]
     for host in hosts:
@@ -99,20 +100,20 @@
     for host in hosts[:overloaded]:
         agent = world.nodes[host]
         assert isinstance(agent, AgentState)
-        overload(agent, 10 * SERVABLE, world.now)
+        queue_requests(agent, 10 * FEASIBLE_REQUESTS, world.now)
     return world
 
 
-def test_a_caller_is_told_at_once_where_no_upstream_can_answer() -> None:
-    world = make_world(MAX_OVERLOADED_OFFERS + 2, MAX_OVERLOADED_OFFERS + 2)
+def test_flow_is_reset_at_once_if_no_upstream_can_answer_in_time() -> None:
+    world = build_world(MAX_OVERLOADED_OFFERS + 2, MAX_OVERLOADED_OFFERS + 2)
     caller = world.call("dispatcher", "10.0.0.1")
     world.run(0.05)
     assert caller.outcome == "reset"
     assert not any(upstream.runs for upstream in world.upstreams.values())
 
 
-def test_an_upstream_that_can_answer_gets_what_an_overloaded_one_refuses() -> None:
-    world = make_world(2, 1)
+def test_flows_refused_by_overloaded_upstream_go_to_another_one() -> None:
+    world = build_world(2, 1)
     callers = [world.call("dispatcher", "10.0.0.1") for _ in range(3)]
     world.run(0.5)
     assert [caller.outcome for caller in callers] == ["answered"] * 3
--- a/shedsill/tests/test_datagram_pauses.py
+++ b/shedsill/tests/test_datagram_pauses.py
@@ -1,8 +1,7 @@
-"""An agent that did not run for a while takes its own silence for nobody else's.
+"""Pauses of an agent's process.
 
-Found by looking for the cause that `test_datagram_deafness.py` tells of in the agent.
-When its VM stands still, packets and heartbeats wait unread; the first tick after it
-must not judge by the time that has passed for itself alone.
+Packets and heartbeats are read only after a pause: the first tick after it must not
+count the pause as silence of callers or the upstream.
 """
 
 from __future__ import annotations
@@ -17,16 +16,16 @@
 from shedsill.datagram._reducer import reduce
 from shedsill.testing.agents import make_agent_state
 
-FROZEN = 6.0
-"""Seconds for which the agent stands still; above every limit that it goes by."""
+PAUSE_SECONDS = 6.0
+"""Length of the agent's pause; longer than all of its timeouts."""
 
 
 @pytest.fixture
 def agent() -> AgentState:
-    """An agent that is in the middle of serving two flows, and has just ticked."""
+    """An agent with a running and a queued request, right after a tick."""
     state = make_agent_state(slots=2)
     reduce(state, Tick(now=10.0))
-    beat(state, "i-2", 5, 10.0)
+    send_heartbeat(state, "i-2", 5, 10.0)
     state.flows[b"at work"] = AgentFlow(
         phase=Phase.OPEN,
         last_packet_at=10.0,
@@ -55,53 +54,55 @@
     return state
 
 
-def beat(state: AgentState, boot: str, serial: int, now: float) -> list[Effect]:
+def send_heartbeat(
+    state: AgentState, boot: str, serial: int, now: float
+) -> list[Effect]:
     heartbeat = Heartbeat(boot=boot, serial=serial, state=UpstreamState.READY, slots=2)
     return reduce(state, HeartbeatReceived(heartbeat=heartbeat, now=now))
 
 
-def test_a_held_request_outlives_a_pause(agent: AgentState) -> None:
-    reduce(agent, Tick(now=10.0 + FROZEN))
+def test_queued_request_is_kept_over_pause(agent: AgentState) -> None:
+    reduce(agent, Tick(now=10.0 + PAUSE_SECONDS))
     assert b"held" in agent.backlog.requests
 
 
-def test_a_request_at_work_keeps_its_slot_through_a_pause(agent: AgentState) -> None:
-    """Its answer may be waiting to be read."""
-    reduce(agent, Tick(now=10.0 + FROZEN))
+def test_running_request_keeps_its_slot_over_pause(agent: AgentState) -> None:
+    """Its answer may be unread."""
+    reduce(agent, Tick(now=10.0 + PAUSE_SECONDS))
     assert agent.flows[b"at work"].running
     assert agent.running == 1
 
 
-def test_a_late_heartbeat_after_a_pause_resets_nothing(agent: AgentState) -> None:
-    """The heartbeats of the living run are still to be read."""
-    reduce(agent, Tick(now=10.0 + FROZEN))
-    effects = beat(agent, "i-0", 9, 10.01 + FROZEN)
+def test_late_heartbeat_after_pause_resets_no_flow(agent: AgentState) -> None:
+    """The heartbeats of the current boot are unread."""
+    reduce(agent, Tick(now=10.0 + PAUSE_SECONDS))
+    effects = send_heartbeat(agent, "i-0", 9, 10.01 + PAUSE_SECONDS)
     assert not [effect for effect in effects if isinstance(effect, ResetFlow)]
     assert agent.report.boot == "i-2"
 
 
-def test_time_that_passed_while_the_agent_ran_still_counts(agent: AgentState) -> None:
+def test_time_without_pause_counts_as_silence(agent: AgentState) -> None:
     now = 10.0
-    while now < 10.0 + FROZEN:
+    while now < 10.0 + PAUSE_SECONDS:
         now += 0.04
         reduce(agent, Tick(now=now))
     assert not agent.backlog.requests
     assert agent.running == 0
-    beat(agent, "i-3", 9, now)
+    send_heartbeat(agent, "i-3", 9, now)
     assert agent.report.boot == "i-3"
 
 
-def test_a_flow_taken_by_a_new_run_after_a_pause_is_not_the_last_run_s(
+def test_flow_taken_by_new_boot_after_pause_is_kept(
     agent: AgentState,
 ) -> None:
-    """The pause moves no time on by which flows are told apart."""
+    """The pause does not change the times that assign flows to boots."""
     agent.flows[b"new"] = AgentFlow(
         phase=Phase.OPEN,
-        last_packet_at=10.01 + FROZEN,
+        last_packet_at=10.01 + PAUSE_SECONDS,
         balancer="10.0.0.1",
-        taken_at=10.01 + FROZEN,
+        taken_at=10.01 + PAUSE_SECONDS,
     )
-    reduce(agent, Tick(now=10.02 + FROZEN))
-    effects = beat(agent, "i-3", 1, 10.03 + FROZEN)
+    reduce(agent, Tick(now=10.02 + PAUSE_SECONDS))
+    effects = send_heartbeat(agent, "i-3", 1, 10.03 + PAUSE_SECONDS)
     resets = {effect.flow for effect in effects if isinstance(effect, ResetFlow)}
     assert resets == {b"at work", b"held"}
