--- a/shedsill/datagram/_agent.py
+++ b/shedsill/datagram/_agent.py
@@ -154,9 +154,8 @@
 def handle_stop(state: AgentState, event: StopRequested) -> list[Effect]:
     """Begin a planned stop: refuse new flows, then exit when no request is unanswered.
 
-    The exit is delayed by `stop_limit` at most.
-    Before the first heartbeat nothing is published, as this incarnation has announced
-    no upstream yet.
+    The exit is delayed by `stop_limit` at most.  Before the first heartbeat nothing is
+    published, as this incarnation has announced no upstream yet.
     """
     if state.stop_at is not None:
         return []
--- a/shedsill/datagram/_agent_packets.py
+++ b/shedsill/datagram/_agent_packets.py
@@ -111,7 +111,7 @@
 def _handle_unknown_flow(
     state: AgentState, packet: Packet, balancer: str, now: float
 ) -> list[Effect]:
-    """Return a packet, or send it to the upstream, which bounces it if needed."""
+    """Return a packet, or send it to the upstream, which bounces it if not its own."""
     if state.knows_all_flows or state.report.state == UpstreamState.GONE:
         return return_packet(state, packet, balancer, ReturnReason.NOT_HELD, now)
     if len(state.trial_flows) < MAX_FLOWS:
--- a/shedsill/datagram/_backlog.py
+++ b/shedsill/datagram/_backlog.py
@@ -28,8 +28,8 @@
 miss its deadline otherwise.  If all of them did, every request would be late."""
 
 LATE_SERVICE_TIME_FACTOR = 2.0
-"""Multiple of the mean service time for which a late request is sent before its
-deadline: about the longest of twenty where the standard deviation is half the mean."""
+"""A late request is sent this multiple of the mean service time before its deadline:
+about the longest of twenty where the standard deviation is half the mean."""
 
 EARLIER_ATTEMPT_SECONDS = 1.5
 """Time that a caller may have spent on an earlier attempt of its request: callers give
@@ -51,7 +51,7 @@
     urgency : int
         Priority of the route; 0 is the highest.
     objective_at : float
-        End of the route's latency objective.
+        Time until which an answer meets the route's latency objective.
     deadline_at : float
         When the caller gives up.
     may_be_retry : bool
