--- a/shedsill/datagram/_agent.py
+++ b/shedsill/datagram/_agent.py
@@ -161,7 +161,9 @@
         return []
     state.stop_at = event.now + state.stop_limit
     state.report = replace(state.report, stopping=True)
-    log_entry = WriteLog(event=LogEvent.NODE_STOPPING, fields={"flows": len(state.flows)})
+    log_entry = WriteLog(
+        event=LogEvent.NODE_STOPPING, fields={"flows": len(state.flows)}
+    )
     if not state.report.boot:
         return [log_entry]
     return [log_entry, *publish_report(state, event.now)]
--- a/shedsill/datagram/_events.py
+++ b/shedsill/datagram/_events.py
@@ -18,7 +18,7 @@
 
 
 class Tick(Struct, frozen=True, kw_only=True):
-    """A timer event; dispatched every `TICK_INTERVAL` seconds."""
+    """A timer event; dispatched every `TICK_INTERVAL_SECONDS` seconds."""
 
     now: float
 
--- a/shedsill/tests/test_datagram_overload.py
+++ b/shedsill/tests/test_datagram_overload.py
@@ -84,7 +84,7 @@
     assert _slots.can_answer_in_time(state, build_syn(), 1.0)
 
 
-def build_world(upstreams: int, overloaded: int) -> World:
+def create_world(upstreams: int, overloaded: int) -> World:
     world = World(services=("dispatcher",))
     hosts = [f"10.1.0.{number}" for number in range(1, upstreams + 1)]
     for host in hosts:
@@ -105,7 +105,7 @@
 
 
 def test_flow_is_reset_at_once_if_no_upstream_can_answer_in_time() -> None:
-    world = build_world(MAX_OVERLOADED_OFFERS + 2, MAX_OVERLOADED_OFFERS + 2)
+    world = create_world(MAX_OVERLOADED_OFFERS + 2, MAX_OVERLOADED_OFFERS + 2)
     caller = world.call("dispatcher", "10.0.0.1")
     world.run(0.05)
     assert caller.outcome == "reset"
@@ -113,7 +113,7 @@
 
 
 def test_flows_refused_by_overloaded_upstream_go_to_another_one() -> None:
-    world = build_world(2, 1)
+    world = create_world(2, 1)
     callers = [world.call("dispatcher", "10.0.0.1") for _ in range(3)]
     world.run(0.5)
     assert [caller.outcome for caller in callers] == ["answered"] * 3
