--- a/benchmarks/opaque.py
+++ b/benchmarks/opaque.py
@@ -26,7 +26,7 @@
 from shedsill.datagram._reducer import reduce
 from shedsill.datagram._selection import hash_service
 from shedsill.platform.packets import HeaderCodec
-from shedsill.testing.flow_peers import SERVICE_HOST, make_packet
+from shedsill.testing.flow_endpoints import SERVICE_HOST, make_packet
 
 CODEC = HeaderCodec()
 FLOWS = 20_000
@@ -60,7 +60,7 @@
 def make_data(number: int, bits: int, content: bytes = b"") -> bytes:
     """Return one packet of the flow with a number."""
     caller = (0x64400000 + number // 50_000, 1024 + number % 50_000)
-    return make_packet(caller, (SERVICE_HOST, 443), bits, seq=1, ack=8, content=content)
+    return make_packet(caller, (SERVICE_HOST, 443), bits, seq=1, ack=8, payload=content)
 
 
 def open_flows(state: BalancerState, count: int) -> None:
--- a/properties/soak.py
+++ b/properties/soak.py
@@ -82,7 +82,7 @@
             await self.deployment.start_balancer(host)
         for host in (*self.injector.agents, *self.injector.balancers):
             await self.deployment.wait_ready(host)
-        await self.deployment.wait_known()
+        await self.deployment.wait_agents_known()
         calls = asyncio.create_task(self._call_steadily())
         plan = random.Random(self.seed)
         left = seconds
@@ -102,7 +102,7 @@
             balancer = draw.choice(self.injector.balancers)
             is_long = draw.random() < LONG_SHARE
             requests = LONG_REQUESTS if is_long else 1
-            caller = self.deployment.call(service, balancer, requests=requests)
+            caller = self.deployment.add_caller(service, balancer, requests=requests)
             if draw.random() < REMAP_SHARE:
                 self._remap(caller.flow, draw)
             await asyncio.sleep(1 / CALLS_PER_SECOND)
@@ -112,7 +112,7 @@
         other = draw.choice(self.injector.balancers)
         asyncio.get_running_loop().call_later(
             draw.uniform(0.0, 0.1),
-            lambda: self.deployment.routers.update({flow: other}),
+            lambda: self.deployment.balancer_by_flow.update({flow: other}),
         )
 
     def _begin_fault(self, plan: random.Random) -> None:
@@ -137,7 +137,7 @@
                 await self.deployment.start_upstream(host, self.injector.agents[host])
         await asyncio.sleep(RECOVERY_TIME)
         callers = [
-            self.deployment.call(
+            self.deployment.add_caller(
                 SERVICES[n % 2],
                 self.injector.balancers[n % len(self.injector.balancers)],
             )
@@ -145,11 +145,11 @@
         ]
         # A request without any outcome is reported below, as the others are.
         with contextlib.suppress(TimeoutError):
-            await self.deployment.settle(callers)
+            await self.deployment.wait_for_outcomes(callers)
         broken = [f"{type(e).__name__}: {e}" for e in self.deployment.errors]
         failed = [c.outcome for c in callers if c.outcome != "answered"]
         broken += [f"a request after the recovery: {outcome}" for outcome in failed]
-        for flow in self.deployment.find_doubled():
+        for flow in self.deployment.find_repeated_flows():
             broken.append(f"requests of {flow.hex()} ran on two upstreams")
         for host, node in self.deployment.nodes.items():
             broken += self._check_process(host, node)
@@ -157,7 +157,7 @@
 
     def _check_process(self, host: str, node) -> list[str]:
         broken = []
-        if not node.running:
+        if not node.is_running:
             return [f"{host} has ended by itself"]
         status = pathlib.Path(f"/proc/{node.process.pid}/status").read_text()
         memory = next(li for li in status.splitlines() if li.startswith("VmRSS"))
--- a/properties/soak_faults.py
+++ b/properties/soak_faults.py
@@ -25,9 +25,9 @@
 that, since what a balancer does not hear must end no flow."""
 DEAF_TIME = (1.0, 4.0)
 FLAPS = 3
-WEAK_LINK = LinkFault(delay=0.02, jitter=0.1, loss=0.1, copies=0.2)
-DEAF_LINK = LinkFault(loss=0.5)
-CUT = LinkFault(cut=True)
+WEAK_LINK = LinkFault(delay=0.02, jitter=0.1, loss_share=0.1, duplicate_share=0.2)
+DEAF_LINK = LinkFault(loss_share=0.5)
+CUT = LinkFault(blocked=True)
 STORE_FAULTS = ("busy", "reset", "silent", "slow", "lost", "forgotten")
 
 Fault = Callable[[str, float, random.Random], Awaitable[None]]
@@ -72,33 +72,33 @@
         )
 
     async def kill(self, host: str, span: float, draw: random.Random) -> None:
-        self.deployment.disturb(host, span)
+        self.deployment.record_fault(host, span)
         await self.deployment.kill(host)
         await asyncio.sleep(span)
         await self.ensure(host)
 
     async def freeze(self, host: str, span: float, draw: random.Random) -> None:
-        self.deployment.disturb(host, span)
+        self.deployment.record_fault(host, span)
         node = self.deployment.nodes[host]
-        node.signal(signal.SIGSTOP)
+        node.send_signal(signal.SIGSTOP)
         await asyncio.sleep(span)
-        node.signal(signal.SIGCONT)
+        node.send_signal(signal.SIGCONT)
 
     async def stop(self, host: str, span: float, draw: random.Random) -> None:
         """Ask a node to stop; it starts again when it has ended."""
         node = self.deployment.nodes[host]
-        node.signal(signal.SIGTERM)
+        node.send_signal(signal.SIGTERM)
         if node.process is not None:
             await node.process.wait()
         await self.ensure(host)
 
     async def hang_up(self, host: str, span: float, draw: random.Random) -> None:
         self.deployment.change_settings(host, seeds=[f"{self.balancers[0]}:1"])
-        self.deployment.nodes[host].signal(signal.SIGHUP)
+        self.deployment.nodes[host].send_signal(signal.SIGHUP)
 
     async def crash_upstream(self, host: str, span: float, draw: random.Random) -> None:
         host = draw.choice(list(self.agents))
-        self.deployment.disturb(host, span)
+        self.deployment.record_fault(host, span)
         self.deployment.upstreams[host].crash()
         await asyncio.sleep(span)
         await self.deployment.start_upstream(host, self.agents[host])
@@ -121,7 +121,7 @@
         host = draw.choice(list(self.agents))
         if list(self.agents.values()).count(self.agents[host]) == 1:
             return
-        self.deployment.disturb(host, span)
+        self.deployment.record_fault(host, span)
         async with self._get_lock(host):
             # No other fault may start the old agent beside the new upstream.
             self.deployment.upstreams[host].crash()
@@ -172,7 +172,7 @@
         faults = self.get_links().faults
         for link in links:
             for host in link:
-                self.deployment.disturb(host, span)
+                self.deployment.record_fault(host, span)
             faults[link] = fault
         await asyncio.sleep(span)
         for link in links:
@@ -181,8 +181,8 @@
     async def reset_connections(
         self, host: str, span: float, draw: random.Random
     ) -> None:
-        self.deployment.disturb(host, 0.0)
-        self.get_links().reset(host)
+        self.deployment.record_fault(host, 0.0)
+        self.get_links().reset_connections(host)
 
     def get_links(self) -> Links:
         assert self.deployment.links is not None
@@ -196,11 +196,11 @@
             case "lost":
                 faults.lose_answers = 3
             case "forgotten":
-                self.deployment.store.forget_history()
+                self.deployment.store.drop_history()
             case down:
-                faults.down = down
+                faults.failure_mode = down
         await asyncio.sleep(span)
-        faults.down, faults.delay, faults.lose_answers = "", 0.0, 0
+        faults.failure_mode, faults.delay, faults.lose_answers = "", 0.0, 0
 
     async def change_table(self, host: str, span: float, draw: random.Random) -> None:
         self.deployment.write_table()
@@ -211,5 +211,5 @@
     async def ensure(self, host: str) -> None:
         """Start a node that has ended; overlapping faults start it only once."""
         async with self._get_lock(host):
-            if not self.deployment.nodes[host].running:
+            if not self.deployment.nodes[host].is_running:
                 await self.deployment.restart(host)
--- a/properties/test_datagram_messages.py
+++ b/properties/test_datagram_messages.py
@@ -37,8 +37,8 @@
 )
 from shedsill.datagram._packet import ACK, SYN, Packet
 from shedsill.datagram._reducer import reduce
-from shedsill.testing.datagrams import World
-from shedsill.testing.flow_peers import BITS, CODEC, SERVICE_HOST, make_packet
+from shedsill.testing.datagram_simulation import Simulation
+from shedsill.testing.flow_endpoints import FLAG_BITS, CODEC, SERVICE_HOST, make_packet
 
 HOSTS = ("10.1.0.1", "10.1.0.2", "10.1.0.3", "10.9.9.9")
 CALLERS = tuple((0x64400000 + number, 40_000) for number in range(4))
@@ -47,9 +47,9 @@
 
 
 def make_caller_packet(caller: tuple[int, int], *, opening: bool) -> Packet:
-    bits = BITS[SYN] if opening else BITS[ACK]
+    bits = FLAG_BITS[SYN] if opening else FLAG_BITS[ACK]
     content = b"" if opening else b"request"
-    packet = CODEC.decode_caller(make_packet(caller, SERVICE, bits, content=content))
+    packet = CODEC.decode_caller(make_packet(caller, SERVICE, bits, payload=content))
     assert packet is not None
     return packet
 
@@ -144,15 +144,15 @@
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(st.lists(steps, min_size=STEPS, max_size=2 * STEPS))
 def test_a_balancer_takes_any_message(series: list) -> None:
-    world = World(services=("dispatcher",))
+    simulation = Simulation(services=("dispatcher",))
     for host in HOSTS[:3]:
-        world.add_agent(host, "dispatcher", first=True)
-    state = world.add_balancer("10.0.0.1")
-    world.run(0.1)
-    callers = [world.call("dispatcher", "10.0.0.1", requests=STEPS) for _ in CALLERS]
-    world.run(0.05)
+        simulation.add_agent(host, "dispatcher", knows_all_flows=True)
+    state = simulation.add_balancer("10.0.0.1")
+    simulation.run(0.1)
+    callers = [simulation.add_caller("dispatcher", "10.0.0.1", requests=STEPS) for _ in CALLERS]
+    simulation.run(0.05)
     assert {caller.flow for caller in callers} == state.flows.keys() == set(FLOWS)
-    now = world.now
+    now = simulation.now
     for step in series:
         match step:
             case (source, PacketReturned() as message):
--- a/properties/test_datagram_world.py
+++ b/properties/test_datagram_world.py
@@ -1,6 +1,6 @@
 """Random series of faults and planned steps on opaque flows.
 
-The nodes are the real reducers in `shedsill.testing.datagrams`.  Callers and
+The nodes are the real reducers in `shedsill.testing.datagram_simulation`.  Callers and
 upstreams raise `OracleError` when a promise is broken: a packet changed, the wrong
 service, or a reset of a flow whose upstream holds it.  All faults here are ones
 through which no living flow may be reset: nodes are away for less time than after
@@ -14,7 +14,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from shedsill.datagram._messages import UpstreamState
-from shedsill.testing.datagrams import Losses, World
+from shedsill.testing.datagram_simulation import PacketLoss, Simulation
 
 SERVICES = ("dispatcher", "intake")
 BALANCERS = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
@@ -43,12 +43,12 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.world = World(services=SERVICES)
+        self.simulation = Simulation(services=SERVICES)
         for number, (host, service) in enumerate(AGENTS.items()):
-            self.world.add_agent(host, service, zone=f"z{number % 2}", first=True)
+            self.simulation.add_agent(host, service, zone=f"z{number % 2}", knows_all_flows=True)
         for number, host in enumerate(BALANCERS):
-            self.world.add_balancer(host, zone=f"z{number % 2}")
-        self.world.run(0.2)
+            self.simulation.add_balancer(host, zone=f"z{number % 2}")
+        self.simulation.run(0.2)
 
     @rule(
         service=st.sampled_from(SERVICES),
@@ -56,119 +56,119 @@
         requests=st.sampled_from([1, LONG_REQUESTS]),
     )
     def call(self, service: str, balancer: str, requests: int) -> None:
-        self.world.call(service, balancer, requests=requests)
+        self.simulation.add_caller(service, balancer, requests=requests)
 
     @rule(seconds=st.floats(0.001, 1.5))
     def wait(self, seconds: float) -> None:
-        self.world.run(seconds)
+        self.simulation.run(seconds)
 
-    @precondition(lambda self: self.world.callers)
+    @precondition(lambda self: self.simulation.callers)
     @rule(data=st.data(), balancer=balancers)
     def remap(self, data: st.DataObject, balancer: str) -> None:
-        flow = data.draw(st.sampled_from(sorted(self.world.routers)))
-        self.world.routers[flow] = balancer
+        flow = data.draw(st.sampled_from(sorted(self.simulation.balancer_by_flow)))
+        self.simulation.balancer_by_flow[flow] = balancer
 
     @rule(host=balancers)
     def restart_balancer(self, host: str) -> None:
-        zone = self.world.nodes[host].report.zone
-        self.world.kill(host)
-        self.world.run(RESTART_TIME)
-        self.world.add_balancer(host, zone=zone)
+        zone = self.simulation.nodes[host].report.zone
+        self.simulation.kill(host)
+        self.simulation.run(RESTART_TIME)
+        self.simulation.add_balancer(host, zone=zone)
 
     @rule(hosts=st.sets(agents, min_size=1))
     def restart_agents(self, hosts: set[str]) -> None:
-        zones = {host: self.world.nodes[host].report.zone for host in hosts}
+        zones = {host: self.simulation.nodes[host].report.zone for host in hosts}
         for host in hosts:
-            self.world.kill(host)
-        self.world.run(RESTART_TIME)
+            self.simulation.kill(host)
+        self.simulation.run(RESTART_TIME)
         for host in sorted(hosts):
-            self.world.add_agent(host, AGENTS[host], zone=zones[host])
+            self.simulation.add_agent(host, AGENTS[host], zone=zones[host])
 
     @rule(host=agents)
     def stop_agent(self, host: str) -> None:
-        zone = self.world.nodes[host].report.zone
-        self.world.stop(host)
-        self.world.run(0.1)
-        self.world.kill(host)
-        self.world.run(RESTART_TIME)
-        self.world.add_agent(host, AGENTS[host], zone=zone)
+        zone = self.simulation.nodes[host].report.zone
+        self.simulation.stop(host)
+        self.simulation.run(0.1)
+        self.simulation.kill(host)
+        self.simulation.run(RESTART_TIME)
+        self.simulation.add_agent(host, AGENTS[host], zone=zone)
 
     @rule()
     def restart_everything(self) -> None:
         for host in BALANCERS:
-            self.world.kill(host)
+            self.simulation.kill(host)
         self.restart_agents(set(AGENTS))
         for number, host in enumerate(BALANCERS):
-            self.world.add_balancer(host, zone=f"z{number % 2}")
+            self.simulation.add_balancer(host, zone=f"z{number % 2}")
 
     @rule(ended=st.sets(agents), dark=st.floats(0.0, 2.0))
     def lose_power(self, ended: set[str], dark: float) -> None:
         """End all nodes and some upstreams; those start again with their VMs."""
         for host in (*BALANCERS, *AGENTS):
-            self.world.kill(host)
+            self.simulation.kill(host)
         for host in sorted(ended):
-            self.world.crash_upstream(host)
-        self.world.run(dark)
+            self.simulation.crash_upstream(host)
+        self.simulation.run(dark)
         for host in sorted(ended):
-            self.world.start_upstream(host, AGENTS[host])
+            self.simulation.start_upstream(host, AGENTS[host])
         for number, host in enumerate(BALANCERS):
-            self.world.add_balancer(host, zone=f"z{number % 2}")
+            self.simulation.add_balancer(host, zone=f"z{number % 2}")
         for number, (host, service) in enumerate(AGENTS.items()):
-            self.world.add_agent(host, service, zone=f"z{number % 2}")
+            self.simulation.add_agent(host, service, zone=f"z{number % 2}")
 
     @rule(hosts=st.sets(balancers))
     def rest_watches(self, hosts: set[str]) -> None:
         """Have only the other balancers hear at once of what the store holds."""
-        self.world.resting = hosts
+        self.simulation.unwatched_hosts = hosts
 
     @rule(host=agents)
     def restart_upstream(self, host: str) -> None:
-        self.world.crash_upstream(host)
-        self.world.run(RESTART_TIME)
-        self.world.start_upstream(host, AGENTS[host])
-        self.world._send_beat(host)
+        self.simulation.crash_upstream(host)
+        self.simulation.run(RESTART_TIME)
+        self.simulation.start_upstream(host, AGENTS[host])
+        self.simulation.send_heartbeat(host)
 
     @rule(host=agents, delay=st.floats(0.0, 1.0))
     def restart_upstream_unseen(self, host: str, delay: float) -> None:
         """The new run takes flows before its first heartbeat arrives."""
-        self.world.crash_upstream(host)
-        self.world.run(RESTART_TIME)
-        self.world.start_upstream(host, AGENTS[host])
+        self.simulation.crash_upstream(host)
+        self.simulation.run(RESTART_TIME)
+        self.simulation.start_upstream(host, AGENTS[host])
         for balancer in BALANCERS:
-            self.world.call(AGENTS[host], balancer, requests=LONG_REQUESTS)
-        self.world.run(delay)
-        self.world._send_beat(host)
+            self.simulation.add_caller(AGENTS[host], balancer, requests=LONG_REQUESTS)
+        self.simulation.run(delay)
+        self.simulation.send_heartbeat(host)
 
     @rule(host=balancers, seconds=st.floats(0.1, 5.0), seed=st.integers(0, 99))
     def deafen_balancer(self, host: str, seconds: float, seed: int) -> None:
         """Lose most of what it sends and is sent, then less and less of it."""
-        self.world.is_lost = losses = Losses(host, 1.0, seed)
-        for losses.share in (1.0, 0.6, 0.3):
-            self.world.run(seconds / 3)
-        self.world.is_lost = lambda source, to: False
+        self.simulation.is_lost = losses = PacketLoss(host, 1.0, seed)
+        for losses.loss_share in (1.0, 0.6, 0.3):
+            self.simulation.run(seconds / 3)
+        self.simulation.is_lost = lambda source, to: False
 
     @rule(host=agents, state=st.sampled_from(UpstreamState))
     def change_state(self, host: str, state: UpstreamState) -> None:
         if state in (UpstreamState.READY, UpstreamState.DRAINING):
-            self.world.upstreams[host].state = state
-            self.world._send_beat(host)
+            self.simulation.upstreams[host].state = state
+            self.simulation.send_heartbeat(host)
 
     @rule(is_up=st.booleans())
     def change_store(self, is_up: bool) -> None:
         if is_up:
-            self.world.return_store()
-        self.world.store_up = is_up
+            self.simulation.restore_store()
+        self.simulation.store_available = is_up
 
     @rule(hosts=st.sets(balancers))
     def change_table(self, hosts: set[str]) -> None:
-        table = self.world.make_table(self.world.table.version + 1)
-        self.world.change_table(table, tuple(sorted(hosts)))
+        table = self.simulation.make_table(self.simulation.table.version + 1)
+        self.simulation.publish_table(table, tuple(sorted(hosts)))
 
     @invariant()
     def tables_never_go_back(self) -> None:
-        newest = self.world.table.version
+        newest = self.simulation.table.version
         assert all(
-            0 < self.world.nodes[host].table.version <= newest for host in BALANCERS
+            0 < self.simulation.nodes[host].table.version <= newest for host in BALANCERS
         )
 
     def teardown(self) -> None:
@@ -176,17 +176,17 @@
         self.change_store(True)
         for host in AGENTS:
             self.change_state(host, UpstreamState.READY)
-        self.world.run(5.0)
-        callers = [self.world.call(s, b) for s in SERVICES for b in BALANCERS]
-        self.world.run(3.0)
+        self.simulation.run(5.0)
+        callers = [self.simulation.add_caller(s, b) for s in SERVICES for b in BALANCERS]
+        self.simulation.run(3.0)
         assert {caller.outcome for caller in callers} == {"answered"}
-        self.world.run(REST)
+        self.simulation.run(REST)
         for host in BALANCERS:
-            state = self.world.nodes[host]
+            state = self.simulation.nodes[host]
             assert not (state.flows or state.searches or state.pending_flows)
         for host in AGENTS:
-            assert not self.world.nodes[host].backlog.requests
-            assert self.world.nodes[host].running == 0
+            assert not self.simulation.nodes[host].backlog.requests
+            assert self.simulation.nodes[host].running == 0
 
 
 TestFlows = FlowsMachine.TestCase
--- a/properties/test_world.py
+++ b/properties/test_world.py
@@ -1,4 +1,4 @@
-"""Stateful fuzzing of the real reducers against the oracle of `World`.
+"""Stateful fuzzing of the real reducers against the oracle of `Simulation`.
 
 CI runs a fixed number of seeded examples.  A longer run, which prints how many
 steps it did:
@@ -22,7 +22,7 @@
 from shedsill.http3._answers import RequestOutcome
 from shedsill.http3._resources import Action, Change, Upstream, UpstreamSet
 from shedsill.testing.parts import CallerFlow
-from shedsill.testing.world import World
+from shedsill.testing.http3_simulation import Simulation
 
 EXAMPLES = int(os.environ.get("SHEDSILL_FUZZ_EXAMPLES", "40"))
 STEPS = int(os.environ.get("SHEDSILL_FUZZ_STEPS", "60"))
@@ -39,31 +39,31 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.world = World()
+        self.simulation = Simulation()
         self.tickets: list[tuple[str, str]] = []
         self.works: dict[str, tuple[str, str]] = {}
         self.count = 0
 
     @initialize(seed=indexes)
     def build(self, seed: int) -> None:
-        self.world = World(seed=seed)
+        self.simulation = Simulation(seed=seed)
         for name in BALANCERS:
-            self.world.start_balancer(name)
+            self.simulation.start_balancer(name)
         for service, upstreams in UPSTREAMS.items():
-            self.world.add_service(service, upstreams, slots=SLOTS)
-        self.world.settle(4.0)
+            self.simulation.add_service(service, upstreams, slots=SLOTS)
+        self.simulation.settle(4.0)
         for service in UPSTREAMS:
-            flow = self.world.open_flow(service)
-            self.world.settle(0.1)
+            flow = self.simulation.open_flow(service)
+            self.simulation.settle(0.1)
             assert flow.cid
             self._fetch_ticket(flow)
 
     def _fetch_ticket(self, flow: CallerFlow) -> None:
-        attempt = self.world.send_request(flow, self._name_work(), path="/read")
-        self.world.settle()
-        for run in self.world.list_running():
-            self.world.finish(run)
-        self.world.settle()
+        attempt = self.simulation.send_request(flow, self._name_work(), path="/read")
+        self.simulation.settle()
+        for run in self.simulation.list_running():
+            self.simulation.finish_run(run)
+        self.simulation.settle()
         self._collect(attempt)
 
     def _name_work(self) -> str:
@@ -76,14 +76,14 @@
 
     def _collect_all(self) -> None:
         known = {ticket for _service, ticket in self.tickets}
-        for attempt in self.world.attempts[-20:]:
+        for attempt in self.simulation.attempts[-20:]:
             if attempt.ticket and attempt.ticket not in known:
                 self._collect(attempt)
 
     def _open_flows(self, service: str | None = None) -> list[CallerFlow]:
         return [
             flow
-            for flow in self.world.flows
+            for flow in self.simulation.flows
             if flow.cid and not flow.broken and service in (None, flow.service)
         ]
 
@@ -92,7 +92,7 @@
     @rule(service=st.sampled_from(sorted(UPSTREAMS)))
     def open_flow(self, service: str) -> None:
         self._count()
-        self.world.open_flow(service)
+        self.simulation.open_flow(service)
 
     @rule(index=indexes)
     def send_plain(self, index: int) -> None:
@@ -100,7 +100,7 @@
         flows = self._open_flows()
         if flows:
             flow = flows[index % len(flows)]
-            self.world.send_request(flow, self._name_work())
+            self.simulation.send_request(flow, self._name_work())
 
     @rule(index=indexes)
     def send_read(self, index: int) -> None:
@@ -108,7 +108,7 @@
         flows = self._open_flows()
         if flows:
             flow = flows[index % len(flows)]
-            self.world.send_request(flow, self._name_work(), path="/read")
+            self.simulation.send_request(flow, self._name_work(), path="/read")
 
     @rule(index=indexes)
     def send_with_ticket(self, index: int) -> None:
@@ -122,7 +122,7 @@
             work = self._name_work()
             self.works[work] = (service, ticket)
             flow = flows[index % len(flows)]
-            self.world.send_request(flow, work, key=ticket)
+            self.simulation.send_request(flow, work, key=ticket)
 
     @rule(index=indexes)
     def repeat(self, index: int) -> None:
@@ -134,7 +134,7 @@
         flows = self._open_flows(service)
         if flows:
             flow = flows[index % len(flows)]
-            self.world.send_request(flow, work, key=ticket)
+            self.simulation.send_request(flow, work, key=ticket)
 
     @rule(index=indexes)
     def move_to_new_ticket(self, index: int) -> None:
@@ -142,7 +142,7 @@
         self._count()
         refused = [
             attempt
-            for attempt in self.world.attempts
+            for attempt in self.simulation.attempts
             if attempt.outcome == RequestOutcome.NOT_RUN
             and attempt.ticket
             and self.works.get(attempt.work, ("", ""))[1] == attempt.key
@@ -155,7 +155,7 @@
         if flows:
             self.works[attempt.work] = (service, attempt.ticket)
             flow = flows[index % len(flows)]
-            self.world.send_request(flow, attempt.work, key=attempt.ticket)
+            self.simulation.send_request(flow, attempt.work, key=attempt.ticket)
 
     @rule(index=indexes)
     def open_stream(self, index: int) -> None:
@@ -163,34 +163,34 @@
         flows = self._open_flows()
         if flows:
             flow = flows[index % len(flows)]
-            self.world.send_request(flow, self._name_work(), path="/stream")
+            self.simulation.send_request(flow, self._name_work(), path="/stream")
 
     @rule(index=indexes)
     def cancel(self, index: int) -> None:
         self._count()
         waiting = [
             attempt
-            for attempt in self.world.attempts
+            for attempt in self.simulation.attempts
             if attempt.outcome is None and not attempt.cancelled
         ]
         if waiting:
-            self.world.cancel_request(waiting[index % len(waiting)])
+            self.simulation.cancel_request(waiting[index % len(waiting)])
 
     @rule(index=indexes)
     def close_flow(self, index: int) -> None:
         self._count()
         flows = self._open_flows()
         if flows:
-            self.world.close_flow(flows[index % len(flows)])
+            self.simulation.close_flow(flows[index % len(flows)])
 
     @rule(name=st.sampled_from(["d1", "d2", "d3", "i1"]))
     def leave(self, name: str) -> None:
         """Stop an agent and close its flows, so that it hands its record on."""
         self._count()
-        self.world.stop(name)
+        self.simulation.stop(name)
         for flow in self._open_flows():
             if flow.agent == name:
-                self.world.close_flow(flow)
+                self.simulation.close_flow(flow)
 
     # The network and time.
 
@@ -198,121 +198,121 @@
     def deliver(self, choices: list[int]) -> None:
         self._count()
         for choice in choices:
-            if self.world.messages:
-                self.world.deliver(choice % len(self.world.messages))
+            if self.simulation.messages:
+                self.simulation.deliver_message(choice % len(self.simulation.messages))
 
     @rule(index=indexes)
     def lose(self, index: int) -> None:
         self._count()
-        if self.world.messages:
-            self.world.lose(index % len(self.world.messages))
+        if self.simulation.messages:
+            self.simulation.drop_message(index % len(self.simulation.messages))
 
     @rule(index=indexes)
     def duplicate(self, index: int) -> None:
         self._count()
-        if self.world.messages:
-            self.world.duplicate(index % len(self.world.messages))
+        if self.simulation.messages:
+            self.simulation.duplicate_message(index % len(self.simulation.messages))
 
     @rule(seconds=st.sampled_from([0.05, 0.3, 1.0, 3.0, 8.0]))
     def pass_time(self, seconds: float) -> None:
         self._count()
-        self.world.advance(seconds)
+        self.simulation.advance(seconds)
 
     @rule(seconds=st.sampled_from([0.0, 0.5, 2.0]))
     def settle(self, seconds: float) -> None:
         self._count()
-        self.world.retransmit()
-        self.world.settle(seconds)
+        self.simulation.retransmit()
+        self.simulation.settle(seconds)
 
     # Upstreams.
 
     @rule(index=indexes, how=st.sampled_from(["done", "done", "cut", "shed"]))
     def end_run(self, index: int, how: str) -> None:
         self._count()
-        running = self.world.list_running()
+        running = self.simulation.list_running()
         if running:
             run = running[index % len(running)]
-            self.world.finish(run, answered=how != "cut", shed=how == "shed")
+            self.simulation.finish_run(run, answered=how != "cut", shed=how == "shed")
 
     # Processes.
 
     @rule(name=st.sampled_from(sorted([*BALANCERS, "d1", "d2", "d3", "i1", "i2"])))
     def kill_or_restart(self, name: str) -> None:
         self._count()
-        if not self.world.nodes[name].exited:
-            self.world.kill(name)
+        if not self.simulation.nodes[name].exited:
+            self.simulation.kill(name)
         elif name in BALANCERS:
-            self.world.start_balancer(name)
+            self.simulation.start_balancer(name)
         else:
-            self.world.start_agent(name)
+            self.simulation.start_agent(name)
 
     @rule(name=st.sampled_from(sorted([*BALANCERS, "d1", "d2", "d3", "i1", "i2"])))
     def freeze_or_thaw(self, name: str) -> None:
         self._count()
-        if self.world.nodes[name].frozen:
-            self.world.thaw(name)
+        if self.simulation.nodes[name].frozen:
+            self.simulation.thaw(name)
         else:
-            self.world.freeze(name)
+            self.simulation.freeze(name)
 
     @rule(name=st.sampled_from(sorted([*BALANCERS, "d1", "d2", "d3", "i1", "i2"])))
     def cut_or_join(self, name: str) -> None:
         self._count()
-        self.world.cut ^= {name}
+        self.simulation.partitioned_nodes ^= {name}
 
     @rule(name=st.sampled_from(["d1", "d3", "i2"]), leaving=st.booleans())
     def list_machine(self, name: str, leaving: bool) -> None:
         self._count()
-        self.world.list_machine(name, leaving=leaving)
+        self.simulation.put_machine(name, leaving=leaving)
 
     @rule(name=st.sampled_from(sorted([*BALANCERS, "d1", "d2", "i1"])))
     def stop(self, name: str) -> None:
         self._count()
-        self.world.stop(name)
+        self.simulation.stop(name)
 
     # The platform and operators.
 
     @rule(down=st.booleans(), lost=st.integers(0, 2), stale=st.integers(0, 1))
     def disturb_platform(self, down: bool, lost: int, stale: int) -> None:
         self._count()
-        self.world.platform_down = down
-        self.world.lose_answers = lost
-        self.world.stale_lists = stale
+        self.simulation.platform_down = down
+        self.simulation.lost_answer_count = lost
+        self.simulation.stale_list_count = stale
 
     @rule(name=st.sampled_from(["d1", "d2", "i1"]), begin=st.booleans())
     def drain_or_undrain(self, name: str, begin: bool) -> None:
         self._count()
         if begin:
             change = Change(name=f"drain-{name}", action=Action.DRAIN, target=name)
-            self.world.apply(change)
+            self.simulation.apply(change)
         else:
-            self.world.delete("change", f"drain-{name}")
+            self.simulation.delete("change", f"drain-{name}")
 
     @rule(service=st.sampled_from(sorted(UPSTREAMS)), count=st.integers(1, 3))
     def resize(self, service: str, count: int) -> None:
         self._count()
         members = tuple(
-            Upstream(name=name, address=str(self.world.nodes[name].address))
+            Upstream(name=name, address=str(self.simulation.nodes[name].address))
             for name in UPSTREAMS[service][:count]
         )
         group = UpstreamSet(name=service, service=service, upstreams=members)
-        self.world.apply(group)
+        self.simulation.apply(group)
 
     @precondition(lambda self: self.count < 200)
     @rule()
     def rotate_keys(self) -> None:
         self._count()
         name = f"rotate-{self.count}"
-        self.world.apply(Change(name=name, action=Action.ROTATE_KEYS))
+        self.simulation.apply(Change(name=name, action=Action.ROTATE_KEYS))
 
     def _count(self) -> None:
         totals["steps"] += 1
 
     def teardown(self) -> None:
         """Heal everything: each request has an answer, and all nodes agree."""
-        if not self.world.nodes:
+        if not self.simulation.nodes:
             return
-        self.world.heal()
-        self.world.check_end()
+        self.simulation.clear_faults()
+        self.simulation.check_final_state()
 
 
 WorldMachine.TestCase.settings = settings(
--- a/shedsill/_cli/quickstart.py
+++ b/shedsill/_cli/quickstart.py
@@ -39,9 +39,9 @@
 async def _run(*, serve: bool, log_level: str) -> int:
     # The stand-ins are for tests and this command alone; a daemon never loads them.
     from shedsill.testing.documents import make_layout
-    from shedsill.testing.embedded import Embedded
+    from shedsill.testing.embedded import EmbeddedSystem
 
-    system = Embedded((make_layout(SERVICE, count=3, slots=3),), log_level=log_level)
+    system = EmbeddedSystem((make_layout(SERVICE, count=3, slots=3),), log_level=log_level)
     await system.start()
     try:
         await _apply(system)
@@ -67,7 +67,7 @@
 async def _show(system) -> int:
     from shedsill.testing.client import open_client, wait_for_body
 
-    front = system.fronts[SERVICE]
+    front = system.service_addresses[SERVICE]
     async with open_client(front) as client:
         stream_id, stream = client.open("GET", STREAM_PATH)
         claim = await client.request("POST", "/claim", body=b"job-1")
@@ -121,7 +121,7 @@
 
 
 async def _serve(system) -> int:
-    front = system.fronts[SERVICE]
+    front = system.service_addresses[SERVICE]
     click.echo(f"service   {SERVICE} at {front} (HTTP/3)")
     click.echo(f"platform  {system.platform_url}")
     for name, balancer in system.balancers.items():
--- a/shedsill/testing/datagrams.py
+++ b/shedsill/testing/datagram_simulation.py
@@ -1,8 +1,8 @@
-"""A world of opaque flows in memory: callers, balancers, agents and upstreams.
+"""A simulation of opaque flows in memory: callers, balancers, agents and upstreams.
 
 The nodes are the real reducers and the packets are real ones.  Time moves only
-by `World.run`.  Callers and upstreams behave as the platform's do and check,
-while the world runs, what they are promised: packets arrive unchanged, flows
+by `Simulation.run`.  Callers and upstreams behave as the platform's do and check,
+while the simulation runs, what they are promised: packets arrive unchanged, flows
 reach the service that they are meant for, and no living flow is reset.
 """
 
@@ -66,7 +66,7 @@
     encode_message,
 )
 from shedsill.datagram._reducer import reduce
-from shedsill.testing.flow_peers import (
+from shedsill.testing.flow_endpoints import (
     CODEC,
     FIRST_PORT,
     SERVICE_HOST,
@@ -74,15 +74,15 @@
     Upstream,
 )
 
-LATENCY = 0.001
-TICK = 0.04
-BEAT = 1.2
-WRITE_RETRY = 1.0
+LATENCY_SECONDS = 0.001
+TICK_SECONDS = 0.04
+HEARTBEAT_SECONDS = 1.2
+WRITE_RETRY_SECONDS = 1.0
 """Longest pause between tries of a write, as in `_runtime.reports`."""
 
 
 @define(eq=False)
-class Losses:
+class PacketLoss:
     """A share of the datagrams to and from one node that are lost.
 
     Each pair of nodes has draws of its own, so that what is lost does not hang on the
@@ -90,34 +90,34 @@
 
     Attributes
     ----------
-    share : float
-        May be changed while the world runs.
+    loss_share : float
+        May be changed while the simulation runs.
     """
 
     host: str
-    share: float
+    loss_share: float
     seed: int
-    _draws: dict[tuple[str, str], random.Random] = field(factory=dict)
+    _generators: dict[tuple[str, str], random.Random] = field(factory=dict)
 
     def __call__(self, source: str, host: str) -> bool:
         """Whether the next datagram from a node to another one is lost."""
         if self.host not in (source, host) or source == "caller":
             return False
         pair = (source, host)
-        if pair not in self._draws:
-            self._draws[pair] = random.Random(f"{self.seed} {source} {host}")
-        return self._draws[pair].random() < self.share
+        if pair not in self._generators:
+            self._generators[pair] = random.Random(f"{self.seed} {source} {host}")
+        return self._generators[pair].random() < self.loss_share
 
 
 @define(eq=False)
-class World:
+class Simulation:
     """Everything, and the queue of what is under way.
 
     Attributes
     ----------
-    cut : set of str
+    partitioned_hosts : set of str
         Hosts that nothing reaches and that reach nothing.
-    resting : set of str
+    unwatched_hosts : set of str
         Balancers whose watch of the store rests, so that they hear of its changes only
         when they ask.
     is_lost : callable
@@ -129,44 +129,44 @@
     nodes: dict[str, BalancerState | AgentState] = field(factory=dict)
     upstreams: dict[str, Upstream] = field(factory=dict)
     callers: dict[bytes, Caller] = field(factory=dict)
-    routers: dict[bytes, str] = field(factory=dict)
-    stored: dict[str, NodeReport] = field(factory=dict)
+    balancer_by_flow: dict[bytes, str] = field(factory=dict)
+    stored_reports: dict[str, NodeReport] = field(factory=dict)
     checkpoint: dict[str, list[OpenFlow]] = field(factory=dict)
     checkpoint_at: float = 0.0
-    store_up: bool = True
-    first_beat: float = LATENCY
-    cut: set[str] = field(factory=set)
-    resting: set[str] = field(factory=set)
+    store_available: bool = True
+    first_heartbeat_delay: float = LATENCY_SECONDS
+    partitioned_hosts: set[str] = field(factory=set)
+    unwatched_hosts: set[str] = field(factory=set)
     seeds: tuple[str, ...] = ()
     is_lost: Callable[[str, str], bool] = field(default=lambda source, host: False)
     table: ForwardingTable = field(factory=ForwardingTable)
-    notes: list[tuple[str, WriteLog]] = field(factory=list)
-    messages: collections.Counter = field(factory=collections.Counter)
+    log_entries: list[tuple[str, WriteLog]] = field(factory=list)
+    message_counts: collections.Counter = field(factory=collections.Counter)
     _queue: list = field(factory=list)
-    _numbers: itertools.count = field(factory=itertools.count)
+    _sequence: itertools.count = field(factory=itertools.count)
 
     def __attrs_post_init__(self) -> None:
         self.table = self.make_table(1)
 
     @property
-    def resets(self) -> list[Caller]:
+    def reset_callers(self) -> list[Caller]:
         """The callers whose flow was reset."""
         return [c for c in self.callers.values() if c.outcome == "reset"]
 
     def count_messages(self, kind: type) -> int:
         """Return how many messages of a class nodes have sent."""
-        return self.messages[kind]
+        return self.message_counts[kind]
 
     # Building
 
-    def make_table(self, version: int, without: str = "") -> ForwardingTable:
+    def make_table(self, version: int, excluded: str = "") -> ForwardingTable:
         """Return a table with one route for each service."""
         routes = {
             self._get_endpoint(service): Route(
                 name=service, shares=(ServiceShare(service=service),)
             )
             for service in self.services
-            if service != without
+            if service != excluded
         }
         return ForwardingTable(version=version, routes=routes, idle_timeout=15.0)
 
@@ -185,16 +185,16 @@
             stop_limit=5.0,
         )
         self.nodes[host] = state
-        self._carry_out(host, _balancer.start(state, self.now))
+        self._execute(host, _balancer.start(state, self.now))
         self._dispatch(
             host, TableReceived(table=self.table, source="store", now=self.now)
         )
-        self._schedule(TICK, lambda: self._tick(host, state))
-        self.list_reports(host)
+        self._schedule(TICK_SECONDS, lambda: self._tick(host, state))
+        self.read_reports(host)
         return state
 
     def add_agent(
-        self, host: str, service: str, *, zone: str = "z1", first: bool = False
+        self, host: str, service: str, *, zone: str = "z1", knows_all_flows: bool = False
     ) -> AgentState:
         """Start an agent, and its upstream if there is none on that VM."""
         state = AgentState(
@@ -202,26 +202,26 @@
             seeds=self.seeds,
             flow_lifetime=60.0,
             stop_limit=5.0,
-            knows_all_flows=first,
+            knows_all_flows=knows_all_flows,
         )
         self.nodes[host] = state
         if host not in self.upstreams:
             self.start_upstream(host, service)
         _agent.start_agent(state, self.now)
-        if self.store_up:
-            self._tell_earlier(host, state.report, at_start=True)
-        self._schedule(TICK, lambda: self._tick(host, state))
-        self._schedule(self.first_beat, lambda: self._beat(host))
+        if self.store_available:
+            self._report_earlier_incarnation(host, state.report, at_start=True)
+        self._schedule(TICK_SECONDS, lambda: self._tick(host, state))
+        self._schedule(self.first_heartbeat_delay, lambda: self._repeat_heartbeat(host))
         return state
 
     def start_upstream(self, host: str, service: str) -> Upstream:
         """Start a new run of an upstream."""
-        boot = f"i-{next(self._numbers)}"
+        boot = f"i-{next(self._sequence)}"
         upstream = Upstream(
             host=host,
             port=self._get_port(service),
             boot=boot,
-            send=lambda data: self._reach_agent(host, data),
+            send=lambda data: self._deliver_to_agent(host, data),
             schedule=self._schedule,
         )
         self.upstreams[host] = upstream
@@ -230,7 +230,7 @@
     def _make_report(
         self, host: str, role: Role, zone: str, service: str = ""
     ) -> NodeReport:
-        incarnation = next(self._numbers) + 1
+        incarnation = next(self._sequence) + 1
         return NodeReport(
             host=host, role=role, zone=zone, service=service, incarnation=incarnation
         )
@@ -252,39 +252,39 @@
     def drain_upstream(self, host: str) -> None:
         """Have an upstream say that it drains."""
         self.upstreams[host].state = UpstreamState.DRAINING
-        self._send_beat(host)
+        self.send_heartbeat(host)
 
-    def leave(self, host: str) -> None:
+    def withdraw_upstream(self, host: str) -> None:
         """Have an upstream say that it ends, and end."""
         boot = self.upstreams[host].boot
         self._dispatch(host, UpstreamLeaving(boot=boot, now=self.now))
         self.crash_upstream(host)
 
-    def list_reports(self, host: str) -> None:
+    def read_reports(self, host: str) -> None:
         """Have a balancer read the store."""
-        if self.store_up and host in self.nodes:
-            reports = tuple(self.stored.values())
+        if self.store_available and host in self.nodes:
+            reports = tuple(self.stored_reports.values())
             self._dispatch(
                 host, ReportsListed(reports=reports, complete=True, now=self.now)
             )
 
     def _read_changes(self, host: str) -> None:
         """Have a balancer read what the store holds, as changes."""
-        reports = tuple(self.stored.values())
+        reports = tuple(self.stored_reports.values())
         self._dispatch(host, ReportsListed(reports=reports, now=self.now))
 
-    def return_store(self) -> None:
+    def restore_store(self) -> None:
         """Have the store back for as long as writes take to be tried again."""
-        self.store_up = True
-        self.run(WRITE_RETRY)
+        self.store_available = True
+        self.run(WRITE_RETRY_SECONDS)
         for host, state in list(self.nodes.items()):
             if isinstance(state, BalancerState):
-                self.list_reports(host)
+                self.read_reports(host)
             elif state.report.boot:
-                self.stored[host] = state.report
-                self._tell_watchers(state.report, removed=False)
+                self.stored_reports[host] = state.report
+                self._notify_watchers(state.report, removed=False)
 
-    def change_table(self, table: ForwardingTable, hosts: tuple[str, ...]) -> None:
+    def publish_table(self, table: ForwardingTable, hosts: tuple[str, ...]) -> None:
         """Have some balancers read a new table from the store."""
         self.table = table
         for host in hosts:
@@ -293,64 +293,64 @@
 
     # Callers
 
-    def call(self, service: str, balancer: str, *, requests: int = 1) -> Caller:
+    def add_caller(self, service: str, balancer: str, *, requests: int = 1) -> Caller:
         """Have a new caller open a flow and send requests on it."""
         caller = Caller(
             address=(0x64400000 + len(self.callers), 40_000),
             service=(SERVICE_HOST, self._get_port(service)),
-            send=lambda data: self._send_in(caller, data),
+            send=lambda data: self._send_to_balancer(caller, data),
             schedule=self._schedule,
-            is_held=lambda flow: bool(self.find_holder(caller)),
+            is_flow_held=lambda flow: bool(self.find_upstream_host(caller)),
             requests=requests,
         )
         self.callers[caller.flow] = caller
-        self.routers[caller.flow] = balancer
-        caller.begin()
+        self.balancer_by_flow[caller.flow] = balancer
+        caller.open_flow()
         return caller
 
-    def find_holder(self, caller: Caller) -> str:
+    def find_upstream_host(self, caller: Caller) -> str:
         """Return the host whose living upstream holds a caller's flow."""
         for host, upstream in self.upstreams.items():
             if upstream.alive and caller.flow in upstream.flows:
                 return host
         return ""
 
-    def _send_in(self, caller: Caller, data: bytes) -> None:
+    def _send_to_balancer(self, caller: Caller, data: bytes) -> None:
         packet = CODEC.decode_caller(data)
         assert packet is not None
-        self._deliver(
+        self._deliver_event(
             "caller",
-            self.routers[caller.flow],
+            self.balancer_by_flow[caller.flow],
             lambda: CallerPacket(packet=packet, now=self.now),
         )
 
-    def _reach_caller(self, data: bytes) -> None:
+    def _deliver_to_caller(self, data: bytes) -> None:
         packet = CODEC.decode_upstream(data)
         assert packet is not None
         self.callers[packet.flow].receive(data)
 
     # Upstreams
 
-    def _reach_agent(self, host: str, data: bytes) -> None:
+    def _deliver_to_agent(self, host: str, data: bytes) -> None:
         packet = CODEC.decode_upstream(data)
         assert packet is not None
         event = UpstreamPacket(packet=packet, now=self.now)
-        self._deliver(host, host, lambda: event)
+        self._deliver_event(host, host, lambda: event)
 
-    def _beat(self, host: str) -> None:
+    def _repeat_heartbeat(self, host: str) -> None:
         if host not in self.nodes or not isinstance(self.nodes[host], AgentState):
             return
-        self._send_beat(host)
+        self.send_heartbeat(host)
         state = self.nodes[host]
-        self._schedule(BEAT, lambda: self.nodes.get(host) is state and self._beat(host))
+        self._schedule(HEARTBEAT_SECONDS, lambda: self.nodes.get(host) is state and self._repeat_heartbeat(host))
 
-    def _send_beat(self, host: str) -> None:
+    def send_heartbeat(self, host: str) -> None:
         upstream = self.upstreams[host]
         if not upstream.alive:
             return
-        upstream.beats += 1
+        upstream.heartbeat_serial += 1
         beat = Heartbeat(
-            boot=upstream.boot, serial=upstream.beats, state=upstream.state, slots=3
+            boot=upstream.boot, serial=upstream.heartbeat_serial, state=upstream.state, slots=3
         )
         self._dispatch(host, HeartbeatReceived(heartbeat=beat, now=self.now))
 
@@ -365,21 +365,21 @@
         self.now = end
 
     def _schedule(self, after: float, action: Callable[[], object]) -> None:
-        entry = (self.now + after, next(self._numbers), action)
+        entry = (self.now + after, next(self._sequence), action)
         heapq.heappush(self._queue, entry)
 
-    def _deliver(self, source: str, host: str, make: Callable[[], Event]) -> None:
+    def _deliver_event(self, source: str, host: str, make: Callable[[], Event]) -> None:
         """Deliver an event over the network, where nothing is cut."""
-        if host in self.cut or (source in self.cut and source != host):
+        if host in self.partitioned_hosts or (source in self.partitioned_hosts and source != host):
             return
         if self.is_lost(source, host):
             return
-        self._schedule(LATENCY, lambda: self._dispatch(host, make()))
+        self._schedule(LATENCY_SECONDS, lambda: self._dispatch(host, make()))
 
     def _tick(self, host: str, state: BalancerState | AgentState) -> None:
         if self.nodes.get(host) is state:
             self._dispatch(host, Tick(now=self.now))
-            self._schedule(TICK, lambda: self._tick(host, state))
+            self._schedule(TICK_SECONDS, lambda: self._tick(host, state))
 
     def _dispatch(self, host: str, event: Event) -> None:
         state = self.nodes.get(host)
@@ -389,80 +389,80 @@
         message = event.message if isinstance(event, MessageReceived) else None
         if isinstance(message, PacketReturned):
             returned = CODEC.decode_caller(message.packet)
-        self._carry_out(host, reduce(state, event, returned))
+        self._execute(host, reduce(state, event, returned))
         if isinstance(event, CallerPacket | MessageReceived):
-            self._carry_out(host, reduce(state, PacketsDrained(now=self.now)))
+            self._execute(host, reduce(state, PacketsDrained(now=self.now)))
 
-    def _carry_out(self, host: str, effects: list[Effect]) -> None:
+    def _execute(self, host: str, effects: list[Effect]) -> None:
         for effect in effects:
-            self._carry_out_one(host, effect)
+            self._execute_effect(host, effect)
 
-    def _carry_out_one(self, host: str, effect: Effect) -> None:
+    def _execute_effect(self, host: str, effect: Effect) -> None:
         match effect:
             case ForwardPacket(host=agent, packet=packet, service=service):
                 data = CODEC.encode_forwarded(packet, service, effect.route)
-                self._deliver(host, agent, lambda: self._forwarded(data, host))
+                self._deliver_event(host, agent, lambda: self._decode_forwarded(data, host))
             case SendMessage(host=other, message=message):
                 octets = encode_message(message)
-                self.messages[type(message)] += 1
-                self._deliver(host, other, lambda: self._message(octets, host))
+                self.message_counts[type(message)] += 1
+                self._deliver_event(host, other, lambda: self._decode_message(octets, host))
             case SendToUpstream(packet=packet, balancer=balancer):
                 data = CODEC.encode_for_upstream(packet, balancer)
                 upstream = self.upstreams[host]
-                self._schedule(LATENCY, lambda: upstream.receive(data))
+                self._schedule(LATENCY_SECONDS, lambda: upstream.receive(data))
             case SendToCaller(packet=packet):
-                self._send_out(host, packet.data)
+                self._send_to_caller(host, packet.data)
             case ResetFlow(flow=flow, seq=seq):
-                self._send_out(host, CODEC.encode_reset(flow, seq))
-            case StoreReport(report=report) if self.store_up:
-                self._tell_earlier(host, report, at_start=False)
-                self.stored[report.host] = report
-                self._tell_watchers(report, removed=False)
+                self._send_to_caller(host, CODEC.encode_reset(flow, seq))
+            case StoreReport(report=report) if self.store_available:
+                self._report_earlier_incarnation(host, report, at_start=False)
+                self.stored_reports[report.host] = report
+                self._notify_watchers(report, removed=False)
             case RemoveReport(report=report) | RemovePeerReport(report=report) if (
-                self.store_up
+                self.store_available
             ):
-                self.stored.pop(report.host, None)
-                self._tell_watchers(report, removed=True)
-            case StoreCheckpoint(parts=parts) if self.store_up:
+                self.stored_reports.pop(report.host, None)
+                self._notify_watchers(report, removed=True)
+            case StoreCheckpoint(parts=parts) if self.store_available:
                 self.checkpoint, self.checkpoint_at = parts, self.now
-            case ReadCheckpoint() if self.store_up and self.checkpoint_at:
+            case ReadCheckpoint() if self.store_available and self.checkpoint_at:
                 read = CheckpointRead(
                     parts=self.checkpoint,
                     age=self.now - self.checkpoint_at,
                     at_start=True,
                     now=self.now,
                 )
-                self._schedule(LATENCY, lambda: self._dispatch(host, read))
-            case ReadReports() if self.store_up:
-                self._schedule(LATENCY, lambda: self._read_changes(host))
+                self._schedule(LATENCY_SECONDS, lambda: self._dispatch(host, read))
+            case ReadReports() if self.store_available:
+                self._schedule(LATENCY_SECONDS, lambda: self._read_changes(host))
             case CheckUpstream():
                 alive = self.upstreams[host].alive
                 checked = UpstreamChecked(open=alive, refused=not alive, now=self.now)
-                self._schedule(LATENCY, lambda: self._dispatch(host, checked))
+                self._schedule(LATENCY_SECONDS, lambda: self._dispatch(host, checked))
             case PullTable():
                 offered = TableReceived(table=self.table, source="peer", now=self.now)
-                self._schedule(LATENCY, lambda: self._dispatch(host, offered))
+                self._schedule(LATENCY_SECONDS, lambda: self._dispatch(host, offered))
             case WriteLog():
-                self.notes.append((host, effect))
+                self.log_entries.append((host, effect))
 
-    def _tell_earlier(self, host: str, report: NodeReport, *, at_start: bool) -> None:
+    def _report_earlier_incarnation(self, host: str, report: NodeReport, *, at_start: bool) -> None:
         """Tell a node what an earlier run of it has left in the store."""
-        earlier = self.stored.get(host)
+        earlier = self.stored_reports.get(host)
         if earlier is not None and earlier.incarnation != report.incarnation:
             read = EarlierReportRead(report=earlier, at_start=at_start, now=self.now)
-            self._schedule(LATENCY, lambda: self._dispatch(host, read))
+            self._schedule(LATENCY_SECONDS, lambda: self._dispatch(host, read))
 
-    def _send_out(self, host: str, data: bytes) -> None:
-        if host not in self.cut:
-            self._schedule(LATENCY, lambda: self._reach_caller(data))
+    def _send_to_caller(self, host: str, data: bytes) -> None:
+        if host not in self.partitioned_hosts:
+            self._schedule(LATENCY_SECONDS, lambda: self._deliver_to_caller(data))
 
-    def _tell_watchers(self, report: NodeReport, *, removed: bool) -> None:
+    def _notify_watchers(self, report: NodeReport, *, removed: bool) -> None:
         """Tell the balancers of a change in the store."""
         for host, state in self.nodes.items():
-            if isinstance(state, BalancerState) and host not in self.resting:
+            if isinstance(state, BalancerState) and host not in self.unwatched_hosts:
                 reports = () if removed else (report,)
                 gone = (report.host,) if removed else ()
-                self._deliver(
+                self._deliver_event(
                     "store",
                     host,
                     lambda r=reports, g=gone: ReportsListed(
@@ -470,7 +470,7 @@
                     ),
                 )
 
-    def _forwarded(self, data: bytes, balancer: str) -> ForwardedPacket:
+    def _decode_forwarded(self, data: bytes, balancer: str) -> ForwardedPacket:
         decoded = CODEC.decode_forwarded(data)
         assert decoded is not None
         packet, service = decoded
@@ -478,6 +478,6 @@
             packet=packet, service=service, balancer=balancer, now=self.now
         )
 
-    def _message(self, octets: bytes, source: str) -> MessageReceived:
+    def _decode_message(self, octets: bytes, source: str) -> MessageReceived:
         message = decode_message(octets)
         return MessageReceived(message=message, source=source, now=self.now)
--- a/shedsill/testing/deployment.py
+++ b/shedsill/testing/deployment.py
@@ -23,7 +23,7 @@
 from attrs import define, field
 
 from shedsill.datagram._messages import UpstreamState
-from shedsill.testing.flow_peers import (
+from shedsill.testing.flow_endpoints import (
     CODEC,
     FIRST_PORT,
     SERVICE_HOST,
@@ -34,11 +34,11 @@
 from shedsill.testing.object_store import ObjectStoreStandIn
 from shedsill.testing.ports import find_ports
 
-BEAT = 0.3
-CONTACT_TIME = 4.0
-START_LIMIT = 20.0
-END_LIMIT = 20.0
-POLL = 0.02
+HEARTBEAT_SECONDS = 0.3
+FAULT_RECOVERY_SECONDS = 4.0
+START_TIMEOUT_SECONDS = 20.0
+STOP_TIMEOUT_SECONDS = 20.0
+POLL_SECONDS = 0.02
 CALLER_HOST = "127.0.9.1"
 STORE_HOST = "127.0.8.1"
 PORT_NAMES = ("packets", "messages", "ready", "control", "app", "outbound", "store")
@@ -58,21 +58,21 @@
     role: str
     service: str = ""
     process: asyncio.subprocess.Process | None = None
-    frozen: bool = False
+    is_suspended: bool = False
 
     @property
-    def running(self) -> bool:
+    def is_running(self) -> bool:
         """Whether the process has not ended."""
         return self.process is not None and self.process.returncode is None
 
-    def signal(self, number: signal.Signals) -> None:
+    def send_signal(self, number: signal.Signals) -> None:
         """Send a signal, unless the process has ended."""
-        if self.running:
+        if self.is_running:
             assert self.process is not None
             self.process.send_signal(number)
 
 
-class _Datagrams(asyncio.DatagramProtocol):
+class _DatagramReceiver(asyncio.DatagramProtocol):
     def __init__(self, take: Callable[[bytes], None]) -> None:
         self._take = take
 
@@ -88,11 +88,11 @@
     ----------
     errors : list of Exception
         Broken promises that a caller or an upstream has seen.
-    calm_after : dict of str to float
+    disturbed_until : dict of str to float
         Until when each VM counts as disturbed.
     links : Links or None
         Proxies between the nodes and in front of the store, where asked for.
-    past : list of Upstream
+    ended_upstreams : list of Upstream
         Runs of upstreams that have ended.
     program : tuple of str
         Module that is run as a node, and arguments before the role.
@@ -104,16 +104,16 @@
     nodes: dict[str, NodeProcess] = field(factory=dict)
     upstreams: dict[str, Upstream] = field(factory=dict)
     callers: dict[bytes, Caller] = field(factory=dict)
-    routers: dict[bytes, str] = field(factory=dict)
+    balancer_by_flow: dict[bytes, str] = field(factory=dict)
     errors: list[Exception] = field(factory=list)
     links: Links | None = None
-    past: list[Upstream] = field(factory=list)
+    ended_upstreams: list[Upstream] = field(factory=list)
     program: tuple[str, ...] = ("shedsill.platform",)
-    version: int = 0
-    calm_after: dict[str, float] = field(factory=dict)
+    table_version: int = 0
+    disturbed_until: dict[str, float] = field(factory=dict)
     ports: dict[str, int] = field(factory=dict)
-    _started: set[str] = field(factory=set)
-    _boots: int = 0
+    _started_hosts: set[str] = field(factory=set)
+    _boot_count: int = 0
     _store_ports: dict[str, int] = field(factory=dict)
     _transports: list = field(factory=list)
     _senders: dict[str, socket.socket] = field(factory=dict)
@@ -127,7 +127,7 @@
         self._runner = web.AppRunner(self.store.make_app(), shutdown_timeout=0.1)
         await self._runner.setup()
         await web.TCPSite(self._runner, STORE_HOST, self.ports["store"]).start()
-        await self._listen(CALLER_HOST, self.ports["packets"], self._reach_caller)
+        await self._listen(CALLER_HOST, self.ports["packets"], self._deliver_to_caller)
         self.write_table()
         return self
 
@@ -148,9 +148,9 @@
 
     # The platform's side
 
-    def write_table(self, *, without: str = "") -> None:
+    def write_table(self, *, excluded: str = "") -> None:
         """Have the operator write a new configuration."""
-        self.version += 1
+        self.table_version += 1
         routes = [
             {
                 "name": f"r-{service}",
@@ -162,10 +162,10 @@
                 "service": service,
             }
             for service in self.services
-            if service != without
+            if service != excluded
         ]
         value = {
-            "version": self.version,
+            "version": self.table_version,
             "routes": routes,
             "limits": {"idle_timeout_ms": 15_000},
         }
@@ -175,17 +175,17 @@
         return FIRST_PORT + self.services.index(service)
 
     async def _listen(
-        self, host: str, port: int, take: Callable[[bytes], None]
+        self, host: str, port: int, receive: Callable[[bytes], None]
     ) -> asyncio.DatagramTransport:
         loop = asyncio.get_running_loop()
         transport, _protocol = await loop.create_datagram_endpoint(
-            lambda: _Datagrams(lambda data: self._guard(take, data)),
+            lambda: _DatagramReceiver(lambda data: self._collect_error(receive, data)),
             local_addr=(host, port),
         )
         self._transports.append(transport)
         return transport
 
-    def _guard(self, action: Callable, *arguments: object) -> None:
+    def _collect_error(self, action: Callable, *arguments: object) -> None:
         """Keep a broken promise for the end of the run."""
         try:
             action(*arguments)
@@ -193,7 +193,7 @@
             self.errors.append(error)
 
     def _schedule(self, after: float, action: Callable[[], object]) -> None:
-        asyncio.get_running_loop().call_later(after, self._guard, action)
+        asyncio.get_running_loop().call_later(after, self._collect_error, action)
 
     # Nodes
 
@@ -216,10 +216,10 @@
     async def _start(self, node: NodeProcess) -> NodeProcess:
         self.nodes[node.host] = node
         if self.links is not None:
-            await self._link(self.links, node.host)
+            await self._open_links(self.links, node.host)
         path = self.folder / f"{node.host}.json"
         path.write_text(json.dumps(self._make_settings(node)))
-        self._started.add(node.host)
+        self._started_hosts.add(node.host)
         with (self.folder / f"{node.host}.log").open("ab") as log:
             node.process = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -236,12 +236,12 @@
         """Have a VM's next agent and upstream be of another service."""
         self.nodes[host].service = service
 
-    async def _link(self, links: Links, host: str) -> None:
+    async def _open_links(self, links: Links, host: str) -> None:
         """Put proxies between a node, the others and the store."""
         if host in links.ports:
             return
-        ports = await links.join(host)
-        await self._listen(CALLER_HOST, ports.packets, self._reach_caller)
+        ports = await links.add_node(host)
+        await self._listen(CALLER_HOST, ports.packets, self._deliver_to_caller)
         self._store_ports[host] = await links.open_stream(
             (host, STORE_HOST), STORE_HOST, (STORE_HOST, self.ports["store"])
         )
@@ -268,7 +268,7 @@
             "zone": "z1",
             "port_range": [ports.messages, ports.messages],
             "seeds": [],
-            "bootstrap": node.host not in self._started,
+            "bootstrap": node.host not in self._started_hosts,
             "app": address("app") if node.role == "agent" else "",
             "service": node.service,
             "listen": {
@@ -285,23 +285,23 @@
         """Wait until a node answers that it is ready."""
         assert self._http is not None
         url = f"http://{host}:{self.ports['ready']}/-/ready"
-        async with asyncio.timeout(START_LIMIT):
+        async with asyncio.timeout(START_TIMEOUT_SECONDS):
             while True:
                 with contextlib.suppress(aiohttp.ClientError, TimeoutError):
                     async with self._http.get(url) as response:
                         if response.status == 200:
                             return
-                await asyncio.sleep(POLL)
+                await asyncio.sleep(POLL_SECONDS)
 
-    async def wait_known(self) -> None:
+    async def wait_agents_known(self) -> None:
         """Wait until each balancer has heard of every agent's upstream."""
         agents = {h for h, node in self.nodes.items() if node.role == "agent"}
-        async with asyncio.timeout(START_LIMIT):
+        async with asyncio.timeout(START_TIMEOUT_SECONDS):
             for host, node in self.nodes.items():
-                while node.role == "balancer" and agents - self._list_known(host):
-                    await asyncio.sleep(POLL)
+                while node.role == "balancer" and agents - self._list_known_upstreams(host):
+                    await asyncio.sleep(POLL_SECONDS)
 
-    def _list_known(self, balancer: str) -> set[str]:
+    def _list_known_upstreams(self, balancer: str) -> set[str]:
         return {
             line["upstream"]
             for line in self.read_log(balancer)
@@ -311,7 +311,7 @@
     async def kill(self, host: str) -> None:
         """End a node's process at once."""
         node = self.nodes[host]
-        if node.running:
+        if node.is_running:
             assert node.process is not None
             node.process.kill()
             await node.process.wait()
@@ -320,22 +320,22 @@
         """Ask a node to stop; return its exit code."""
         node = self.nodes[host]
         assert node.process is not None
-        node.signal(signal.SIGTERM)
-        async with asyncio.timeout(END_LIMIT):
+        node.send_signal(signal.SIGTERM)
+        async with asyncio.timeout(STOP_TIMEOUT_SECONDS):
             return await node.process.wait()
 
     # Upstreams
 
     async def start_upstream(self, host: str, service: str) -> Upstream:
         """Start a new run of the upstream on a VM."""
-        self._boots += 1
+        self._boot_count += 1
         known = self.upstreams.get(host)
         if known is None:
             transport = await self._listen(
                 host, self.ports["app"], lambda data: self.upstreams[host].receive(data)
             )
             server = await asyncio.start_server(
-                lambda _reader, writer: self._accept(host, writer),
+                lambda _reader, writer: self._handle_connection(host, writer),
                 host,
                 self.ports["app"],
             )
@@ -345,50 +345,50 @@
             def send(data: bytes) -> None:
                 transport.sendto(data, outbound)
 
-            self._begin(self._beat(host))
+            self._start_task(self._run_heartbeats(host))
         else:
             send = known.send
-            self.past.append(known)
+            self.ended_upstreams.append(known)
         self.upstreams[host] = Upstream(
             host=host,
             port=self._get_port(service),
-            boot=f"i-{self._boots}",
+            boot=f"i-{self._boot_count}",
             send=send,
             schedule=self._schedule,
         )
         return self.upstreams[host]
 
-    def _accept(self, host: str, writer: asyncio.StreamWriter) -> None:
+    def _handle_connection(self, host: str, writer: asyncio.StreamWriter) -> None:
         if not self.upstreams[host].alive:
             writer.transport.abort()
         writer.close()
 
-    def _begin(self, coroutine) -> None:
+    def _start_task(self, coroutine) -> None:
         task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _beat(self, host: str) -> None:
+    async def _run_heartbeats(self, host: str) -> None:
         while True:
             service = self.services[self.upstreams[host].port - FIRST_PORT]
             with contextlib.suppress(aiohttp.ClientError, TimeoutError, OSError):
-                await self.send_beat(host, service)
-            await asyncio.sleep(BEAT)
+                await self.send_heartbeat(host, service)
+            await asyncio.sleep(HEARTBEAT_SECONDS)
 
-    async def send_beat(self, host: str, service: str) -> int:
+    async def send_heartbeat(self, host: str, service: str) -> int:
         """Send one heartbeat; return the status it was answered with."""
         assert self._http is not None
         upstream = self.upstreams[host]
         if not upstream.alive:
             return 0
-        upstream.beats += 1
+        upstream.heartbeat_serial += 1
         body = {
             "service": service,
             "addr": f"{host}:{self.ports['app']}",
             "slots": 3,
             "state": upstream.state.value,
             "cold_left_ms": 0,
-            "seq": upstream.beats,
+            "seq": upstream.heartbeat_serial,
         }
         url = f"http://{host}:{self.ports['control']}/-/instances/{upstream.boot}"
         async with self._http.put(url, json=body) as response:
@@ -397,11 +397,11 @@
     async def drain_upstream(self, host: str, service: str) -> int:
         """Have an upstream say that it drains; return the answer's status."""
         self.upstreams[host].state = UpstreamState.DRAINING
-        return await self.send_beat(host, service)
+        return await self.send_heartbeat(host, service)
 
     # Callers
 
-    def call(self, service: str, balancer: str, *, requests: int = 1) -> Caller:
+    def add_caller(self, service: str, balancer: str, *, requests: int = 1) -> Caller:
         """Have a new caller open a flow through a balancer and send requests."""
         address = (
             struct.unpack(">I", socket.inet_aton(CALLER_HOST))[0],
@@ -410,63 +410,63 @@
         caller = Caller(
             address=address,
             service=(SERVICE_HOST, self._get_port(service)),
-            send=lambda data: self._send_in(caller, data),
+            send=lambda data: self._send_to_balancer(caller, data),
             schedule=self._schedule,
-            is_held=self._is_held,
+            is_flow_held=self._is_flow_held,
             requests=requests,
         )
         self.callers[caller.flow] = caller
-        self.routers[caller.flow] = balancer
-        caller.begin()
+        self.balancer_by_flow[caller.flow] = balancer
+        caller.open_flow()
         return caller
 
-    def disturb(self, host: str, seconds: float) -> None:
-        """Note an unplanned fault on a VM; it counts for `CONTACT_TIME` more."""
-        until = asyncio.get_running_loop().time() + seconds + CONTACT_TIME
-        self.calm_after[host] = max(self.calm_after.get(host, 0.0), until)
+    def record_fault(self, host: str, seconds: float) -> None:
+        """Note an unplanned fault on a VM; it counts for `FAULT_RECOVERY_SECONDS` more."""
+        until = asyncio.get_running_loop().time() + seconds + FAULT_RECOVERY_SECONDS
+        self.disturbed_until[host] = max(self.disturbed_until.get(host, 0.0), until)
 
-    def _is_held(self, flow: bytes) -> bool:
+    def _is_flow_held(self, flow: bytes) -> bool:
         """Whether an undisturbed upstream holds a flow, on undisturbed VMs."""
         now = asyncio.get_running_loop().time()
         return any(
             upstream.alive
             and flow in upstream.flows
-            and now >= self.calm_after.get(host, 0.0)
-            and now >= self.calm_after.get(self.routers[flow], 0.0)
+            and now >= self.disturbed_until.get(host, 0.0)
+            and now >= self.disturbed_until.get(self.balancer_by_flow[flow], 0.0)
             for host, upstream in self.upstreams.items()
         )
 
-    def _send_in(self, caller: Caller, data: bytes) -> None:
+    def _send_to_balancer(self, caller: Caller, data: bytes) -> None:
         sender = self._senders.get(CALLER_HOST)
         if sender is None:
             sender = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
             sender.setblocking(False)
             self._senders[CALLER_HOST] = sender
-        balancer = self.routers[caller.flow]
+        balancer = self.balancer_by_flow[caller.flow]
         target = (balancer, self._get_ports(balancer).packets)
         with contextlib.suppress(OSError):
             sender.sendto(data, target)
 
-    def _reach_caller(self, data: bytes) -> None:
+    def _deliver_to_caller(self, data: bytes) -> None:
         packet = CODEC.decode_upstream(data)
         assert packet is not None
         self.callers[packet.flow].receive(data)
 
-    def find_doubled(self) -> set[bytes]:
+    def find_repeated_flows(self) -> set[bytes]:
         """Return the flows with a request that more than one run has worked on."""
         seen: set[bytes] = set()
         doubled: set[bytes] = set()
-        for upstream in (*self.past, *self.upstreams.values()):
-            flows = set(upstream.runs)
+        for upstream in (*self.ended_upstreams, *self.upstreams.values()):
+            flows = set(upstream.processed_flows)
             doubled |= flows & seen
             seen |= flows
         return doubled
 
-    async def settle(self, callers: list[Caller], limit: float = 10.0) -> None:
+    async def wait_for_outcomes(self, callers: list[Caller], limit: float = 10.0) -> None:
         """Wait until each of some callers has an outcome."""
         async with asyncio.timeout(limit):
             while not all(caller.outcome for caller in callers):
-                await asyncio.sleep(POLL)
+                await asyncio.sleep(POLL_SECONDS)
 
     def read_log(self, host: str) -> list[dict]:
         """Return the log lines that a node has written."""
--- a/shedsill/testing/embedded.py
+++ b/shedsill/testing/embedded.py
@@ -30,20 +30,20 @@
 from shedsill.testing.upstream import UpstreamStandIn, serve_upstream
 
 HOST = "127.0.0.1"
-IDLE_SPAN = 0.3
-QUIET = 1.0
-READY_PAUSE = 0.05
+IDLE_SPAN_SECONDS = 0.3
+STOP_IDLE_SECONDS = 1.0
+READY_POLL_SECONDS = 0.05
 
 
 @define
-class Embedded:
+class EmbeddedSystem:
     """All parts of one small system.
 
     Attributes
     ----------
     layouts : tuple of ServiceLayout
         Services with their upstreams.
-    fronts : dict of str to Address
+    service_addresses : dict of str to Address
         Where callers reach each service.
     """
 
@@ -56,7 +56,7 @@
     certificate: TestCertificate = field(factory=make_certificate)
     keys: KeyRing = field(factory=lambda: KeyRing((bytes(range(32)),)))
     fabric: Fabric | None = None
-    fronts: dict[str, Address] = field(factory=dict)
+    service_addresses: dict[str, Address] = field(factory=dict)
     balancers: dict[str, Balancer] = field(factory=dict)
     agents: dict[str, Agent] = field(factory=dict)
     upstreams: dict[str, UpstreamStandIn] = field(factory=dict)
@@ -110,7 +110,7 @@
             seeds=self._seeds,
             service_host=address.host,
             limits=FlowLimits(),
-            settings=BalancerSettings(stop_idle_timeout=QUIET),
+            settings=BalancerSettings(stop_idle_timeout=STOP_IDLE_SECONDS),
         )
         balancer = Balancer(
             options,
@@ -137,7 +137,7 @@
             incarnation=draw_incarnation(),
             seeds=self._seeds,
             settings=AgentSettings(),
-            admission=AdmissionSettings(idle_span=IDLE_SPAN),
+            admission=AdmissionSettings(idle_span=IDLE_SPAN_SECONDS),
             policy=TwoCandidates(),
         )
         agent = Agent(
@@ -159,7 +159,7 @@
         self.fabric = Fabric(generator=random.Random(self.seed))
         hosts = [address.host for address in self._seeds]
         for layout in self.layouts:
-            front = self.fronts[layout.name] = Address(HOST, next(ports))
+            front = self.service_addresses[layout.name] = Address(HOST, next(ports))
             port = service_ports[layout.name]
             targets = tuple(Address(host, port) for host in hosts)
             await self.fabric.listen(front, targets)
@@ -169,7 +169,7 @@
         nodes = [*self.balancers.values(), *self.agents.values()]
         async with asyncio.timeout(timeout):
             while not all(node.get_status()["ready"] for node in nodes):
-                await asyncio.sleep(READY_PAUSE)
+                await asyncio.sleep(READY_POLL_SECONDS)
 
     async def stop(self) -> None:
         """Stop all parts."""
--- a/shedsill/testing/fabric.py
+++ b/shedsill/testing/fabric.py
@@ -23,7 +23,7 @@
 from shedsill._addresses import Address, parse_address
 
 MAX_CALLERS = 20_000
-REORDER_DELAY = 0.02
+REORDER_DELAY_SECONDS = 0.02
 
 
 @define
@@ -49,16 +49,16 @@
         """Spray what comes to an address over some balancers."""
         loop = asyncio.get_running_loop()
         transport, _protocol = await loop.create_datagram_endpoint(
-            lambda: _Front(self, balancers), local_addr=address.pair
+            lambda: _ServiceListener(self, balancers), local_addr=address.pair
         )
         self.transports.append(transport)
 
-    def choose(self, balancers: tuple[Address, ...]) -> Address | None:
+    def choose_balancer(self, balancers: tuple[Address, ...]) -> Address | None:
         """Draw one of the balancers that are not withdrawn."""
         live = [b for b in balancers if b.host not in self.withdrawn]
         return self.generator.choice(live) if live else None
 
-    def pass_through(self, send: Any, data: bytes) -> None:
+    def forward_datagram(self, send: Any, data: bytes) -> None:
         """Apply the faults to one datagram."""
         self.forwarded += 1
         if self.generator.random() < self.faults.drop:
@@ -66,7 +66,7 @@
         copies = 2 if self.generator.random() < self.faults.duplicate else 1
         for _ in range(copies):
             if self.generator.random() < self.faults.reorder:
-                delay = self.generator.uniform(0, REORDER_DELAY)
+                delay = self.generator.uniform(0, REORDER_DELAY_SECONDS)
                 asyncio.get_running_loop().call_later(delay, send, data)
             else:
                 send(data)
@@ -77,13 +77,13 @@
             transport.close()
 
 
-class _Front(asyncio.DatagramProtocol):
+class _ServiceListener(asyncio.DatagramProtocol):
     """Receives what callers send to one service address."""
 
     def __init__(self, fabric: Fabric, balancers: tuple[Address, ...]) -> None:
         self._fabric = fabric
         self._balancers = balancers
-        self._callers: dict[tuple, _Back] = {}
+        self._callers: dict[tuple, _CallerSocket] = {}
         self.transport: Any = None
 
     def connection_made(self, transport: Any) -> None:
@@ -94,17 +94,17 @@
         if back is None:
             if len(self._callers) >= MAX_CALLERS:
                 return
-            back = self._callers[addr] = _Back(self._fabric, self, addr)
+            back = self._callers[addr] = _CallerSocket(self._fabric, self, addr)
             asyncio.get_running_loop().create_task(back.open())
-        self._fabric.pass_through(
-            lambda part: back.send(self._fabric.choose(self._balancers), part), data
+        self._fabric.forward_datagram(
+            lambda part: back.send(self._fabric.choose_balancer(self._balancers), part), data
         )
 
 
-class _Back(asyncio.DatagramProtocol):
+class _CallerSocket(asyncio.DatagramProtocol):
     """One caller's socket towards the balancers."""
 
-    def __init__(self, fabric: Fabric, front: _Front, caller: tuple) -> None:
+    def __init__(self, fabric: Fabric, front: _ServiceListener, caller: tuple) -> None:
         self._fabric = fabric
         self._front = front
         self._caller = caller
@@ -131,7 +131,7 @@
 
     def datagram_received(self, data: bytes, addr: tuple) -> None:
         del addr
-        self._fabric.pass_through(self._answer, data)
+        self._fabric.forward_datagram(self._answer, data)
 
     def _answer(self, data: bytes) -> None:
         if not self._front.transport.is_closing():
--- a/shedsill/testing/flow_peers.py
+++ b/shedsill/testing/flow_endpoints.py
@@ -20,12 +20,12 @@
 from shedsill.testing.parts import OracleError
 
 CODEC = HeaderCodec()
-BITS = {SYN: 4, ACK: 128, RST: 32, BOUNCED: 2}
-COPY_TIMES = (0.2, 0.6)
-OPENING_LIMIT = 1.4
-RETRANSMIT = 0.2
-WORK = 0.05
-PAUSE = 0.3
+FLAG_BITS = {SYN: 4, ACK: 128, RST: 32, BOUNCED: 2}
+SYN_COPY_DELAYS_SECONDS = (0.2, 0.6)
+OPEN_TIMEOUT_SECONDS = 1.4
+RETRANSMIT_SECONDS = 0.2
+REQUEST_SECONDS = 0.05
+REQUEST_PAUSE_SECONDS = 0.3
 REQUEST = b"request"
 ANSWER = b"answer"
 SERVICE_HOST = 0xC6120001
@@ -41,17 +41,17 @@
 def make_packet(
     source: Endpoint,
     target: Endpoint,
-    bits: int,
+    flag_bits: int,
     *,
     seq: int = 0,
     ack: int = 0,
-    content: bytes = b"",
+    payload: bytes = b"",
 ) -> bytes:
     """Return a packet between two endpoints, with a true sum."""
     head = struct.pack(
         ">B5xHHIHIIII",
-        bits,
-        len(content),
+        flag_bits,
+        len(payload),
         source[1],
         target[0],
         target[1],
@@ -60,22 +60,22 @@
         seq,
         ack,
     )
-    return head + struct.pack(">I", sum_packet(head + bytes(4) + content)) + content
+    return head + struct.pack(">I", compute_checksum(head + bytes(4) + payload)) + payload
 
 
-def sum_packet(data: bytes) -> int:
+def compute_checksum(data: bytes) -> int:
     """Return the sum over all that a node may not change."""
-    flags = bytes([data[0] & ~BITS[BOUNCED]])
+    flags = bytes([data[0] & ~FLAG_BITS[BOUNCED]])
     return zlib.crc32(flags + data[6:20] + data[24:32] + data[36:])
 
 
 def check_packet(data: bytes) -> None:
     """Raise `OracleError` if a packet is not as its sender wrote it."""
-    if sum_packet(data) != struct.unpack_from(">I", data, 32)[0]:
+    if compute_checksum(data) != struct.unpack_from(">I", data, 32)[0]:
         raise OracleError("a packet was changed on its way")
 
 
-def read_ends(flow: bytes) -> tuple[Endpoint, Endpoint]:
+def decode_endpoints(flow: bytes) -> tuple[Endpoint, Endpoint]:
     """Return the caller's and the service's endpoint of a flow."""
     caller_port, service, service_port, caller = struct.unpack(">HIHI", flow)
     return (caller, caller_port), (service, service_port)
@@ -83,15 +83,15 @@
 
 @define(eq=False)
 class Upstream:
-    """A back end: takes openings, answers each request after `WORK` seconds.
+    """A back end: takes openings, answers each request after `REQUEST_SECONDS`.
 
     Attributes
     ----------
     port : int
         Service port of the flows that may come here.
-    flows, offered : dict of bytes to int
+    flows, offered_flows : dict of bytes to int
         Flows held and offered, with this end's first sequence number.
-    runs : list of bytes
+    processed_flows : list of bytes
         Flows of the requests that were run, in order.
     """
 
@@ -102,11 +102,11 @@
     schedule: Schedule
     state: UpstreamState = UpstreamState.READY
     alive: bool = True
-    refusing: bool = False
-    beats: int = 0
+    refuses_flows: bool = False
+    heartbeat_serial: int = 0
     flows: dict[bytes, int] = field(factory=dict)
-    offered: dict[bytes, int] = field(factory=dict)
-    runs: list[bytes] = field(factory=list)
+    offered_flows: dict[bytes, int] = field(factory=dict)
+    processed_flows: list[bytes] = field(factory=list)
 
     def crash(self) -> None:
         """End this run; its flows are gone."""
@@ -120,34 +120,34 @@
         assert packet is not None
         if not self.alive:
             return
-        if packet.flags == SYN and not self.refusing:
-            self._take_opening(packet.flow)
+        if packet.flags == SYN and not self.refuses_flows:
+            self._handle_syn(packet.flow)
             return
-        if packet.flow in self.offered:
-            expected = self.offered.pop(packet.flow)
+        if packet.flow in self.offered_flows:
+            expected = self.offered_flows.pop(packet.flow)
             if packet.ack == expected + 1:
                 self.flows[packet.flow] = expected
         if packet.flow not in self.flows:
-            self.send(bytes([data[0] | BITS[BOUNCED]]) + data[1:])
+            self.send(bytes([data[0] | FLAG_BITS[BOUNCED]]) + data[1:])
         elif packet.length:
-            self.schedule(WORK, lambda: self._answer(packet.flow, packet.ack))
+            self.schedule(REQUEST_SECONDS, lambda: self._send_answer(packet.flow, packet.ack))
 
-    def _take_opening(self, flow: bytes) -> None:
-        _caller, service = read_ends(flow)
+    def _handle_syn(self, flow: bytes) -> None:
+        _caller, service = decode_endpoints(flow)
         if service[1] != self.port:
             raise OracleError(f"a flow to port {service[1]} reached {self.port}")
         seq = zlib.crc32(self.boot.encode() + flow)
-        self.offered[flow] = seq
-        self._write(flow, BITS[SYN] | BITS[ACK], seq=seq)
+        self.offered_flows[flow] = seq
+        self._send_packet(flow, FLAG_BITS[SYN] | FLAG_BITS[ACK], seq=seq)
 
-    def _answer(self, flow: bytes, seq: int) -> None:
+    def _send_answer(self, flow: bytes, seq: int) -> None:
         if self.alive and flow in self.flows:
-            self.runs.append(flow)
-            self._write(flow, BITS[ACK], seq=seq, content=ANSWER)
+            self.processed_flows.append(flow)
+            self._send_packet(flow, FLAG_BITS[ACK], seq=seq, payload=ANSWER)
 
-    def _write(self, flow: bytes, bits: int, **parts) -> None:
-        caller, service = read_ends(flow)
-        self.send(make_packet(service, caller, bits, **parts))
+    def _send_packet(self, flow: bytes, flag_bits: int, **fields) -> None:
+        caller, service = decode_endpoints(flow)
+        self.send(make_packet(service, caller, flag_bits, **fields))
 
 
 @define(eq=False)
@@ -162,7 +162,7 @@
         How many were answered.
     outcome : str
         Empty, ``answered``, ``reset`` or ``timeout``.
-    is_held : callable
+    is_flow_held : callable
         Whether a living upstream holds a flow; asked when it is reset.
     """
 
@@ -170,36 +170,36 @@
     service: Endpoint
     send: Callable[[bytes], None]
     schedule: Schedule
-    is_held: Callable[[bytes], bool]
+    is_flow_held: Callable[[bytes], bool]
     requests: int = 1
     answers: int = 0
     outcome: str = ""
-    open: bool = False
+    is_open: bool = False
     upstream_seq: int = 0
 
     @property
     def flow(self) -> bytes:
         """Key of the flow."""
-        packet = CODEC.decode_caller(self._write(BITS[SYN]))
+        packet = CODEC.decode_caller(self._make_packet(FLAG_BITS[SYN]))
         assert packet is not None
         return packet.flow
 
-    def begin(self) -> None:
+    def open_flow(self) -> None:
         """Open the flow."""
-        self._send_opening(0)
-        for copy, after in enumerate(COPY_TIMES, 1):
-            self.schedule(after, lambda c=copy: self._send_opening(c))
-        self.schedule(OPENING_LIMIT, self._give_up)
+        self._send_syn(0)
+        for copy, after in enumerate(SYN_COPY_DELAYS_SECONDS, 1):
+            self.schedule(after, lambda c=copy: self._send_syn(c))
+        self.schedule(OPEN_TIMEOUT_SECONDS, self._give_up)
 
-    def _write(self, bits: int, **parts) -> bytes:
-        return make_packet(self.address, self.service, bits, **parts)
+    def _make_packet(self, flag_bits: int, **fields) -> bytes:
+        return make_packet(self.address, self.service, flag_bits, **fields)
 
-    def _send_opening(self, copy: int) -> None:
-        if not self.open and not self.outcome:
-            self.send(self._write(BITS[SYN], ack=copy))
+    def _send_syn(self, copy: int) -> None:
+        if not self.is_open and not self.outcome:
+            self.send(self._make_packet(FLAG_BITS[SYN], ack=copy))
 
     def _give_up(self) -> None:
-        if not self.open and not self.outcome:
+        if not self.is_open and not self.outcome:
             self.outcome = "timeout"
 
     def send_request(self) -> None:
@@ -207,17 +207,17 @@
         if self.outcome:
             return
         seq = 1 + self.answers * len(REQUEST)
-        ack = self._expected
-        self.send(self._write(BITS[ACK], seq=seq, ack=ack, content=REQUEST))
+        ack = self._expected_seq
+        self.send(self._make_packet(FLAG_BITS[ACK], seq=seq, ack=ack, payload=REQUEST))
         answers = self.answers
-        self.schedule(RETRANSMIT, lambda: self._repeat_request(answers))
+        self.schedule(RETRANSMIT_SECONDS, lambda: self._repeat_request(answers))
 
     def _repeat_request(self, answers: int) -> None:
         if self.answers == answers:
             self.send_request()
 
     @property
-    def _expected(self) -> int:
+    def _expected_seq(self) -> int:
         """Sequence number of the next answer."""
         return (self.upstream_seq + 1 + self.answers * len(ANSWER)) % SEQUENCE_SPACE
 
@@ -228,28 +228,28 @@
         if self.outcome:
             return
         if packet.flags & RST:
-            self._take_reset()
+            self._handle_reset()
             return
         check_packet(data)
-        self._take_packet(packet)
+        self._handle_packet(packet)
 
-    def _take_packet(self, packet: Packet) -> None:
-        if packet.flags & SYN and not self.open:
-            self.open = True
+    def _handle_packet(self, packet: Packet) -> None:
+        if packet.flags & SYN and not self.is_open:
+            self.is_open = True
             self.upstream_seq = packet.seq
             self.send_request()
-        elif packet.length and packet.seq == self._expected:
-            self._take_answer()
+        elif packet.length and packet.seq == self._expected_seq:
+            self._handle_answer()
 
-    def _take_answer(self) -> None:
+    def _handle_answer(self) -> None:
         self.answers += 1
         if self.answers >= self.requests:
             self.outcome = "answered"
         else:
-            self.schedule(PAUSE, self.send_request)
+            self.schedule(REQUEST_PAUSE_SECONDS, self.send_request)
 
-    def _take_reset(self) -> None:
-        if self.open and self.is_held(self.flow):
+    def _handle_reset(self) -> None:
+        if self.is_open and self.is_flow_held(self.flow):
             port = self.address[1]
             raise OracleError(
                 f"flow of port {port} was reset while an upstream holds it"
--- a/shedsill/testing/world.py
+++ b/shedsill/testing/http3_simulation.py
@@ -79,33 +79,33 @@
 )
 
 KEYS = KeyRing((bytes(range(32)),))
-TICK = 0.05
+TICK_SECONDS = 0.05
 MAX_SETTLE_STEPS = 20_000
 MAX_DELIVERIES = 20_000
 OUTCOME_HEADER = "shedsill-outcome"
-CLASSES = (
+REQUEST_CLASSES = (
     RequestClass(name="claim", method="POST", path="/claim", deadline=5.0),
     RequestClass(name="read", method="GET", path="/read", repeatable=True),
     RequestClass(name="stream", method="GET", path="/stream", kind=RequestKind.STREAM),
 )
-HEAL_ROUNDS = 8
-HEAL_STEP = 0.25
-HEAL_SECONDS = 32.0
+RECOVERY_ROUNDS = 8
+RECOVERY_STEP_SECONDS = 0.25
+RECOVERY_SECONDS = 32.0
 
 
 @define(eq=False)
-class World:
+class Simulation:
     """Everything, and the queue of messages between its parts.
 
     Attributes
     ----------
     messages : list of Message
         On their way; any may be delivered next.
-    platform_down, lose_answers, stale_lists : bool, int, int
+    platform_down, lost_answer_count, stale_list_count : bool, int, int
         Faults of the platform.
     cancel_delay : float
         Seconds until an upstream notices that a connection was closed.
-    cut : set of str
+    partitioned_nodes : set of str
         Nodes that run, but that no message reaches or leaves.
     """
 
@@ -117,20 +117,20 @@
     upstreams: dict[str, FakeUpstream] = field(factory=dict)
     platform: MemoryPlatform = field(factory=MemoryPlatform)
     platform_down: bool = False
-    lose_answers: int = 0
-    stale_lists: int = 0
+    lost_answer_count: int = 0
+    stale_list_count: int = 0
     cancel_delay: float = 0.1
-    cut: set[str] = field(factory=set)
-    watches: list[PlatformMessage] = field(factory=list)
+    partitioned_nodes: set[str] = field(factory=set)
+    pending_watches: list[PlatformMessage] = field(factory=list)
     flows: list[CallerFlow] = field(factory=list)
     attempts: list[Attempt] = field(factory=list)
     payloads: list[Connected | Answered] = field(factory=list)
     accepted: dict[int, Configuration] = field(factory=dict)
     generator: random.Random = field(factory=random.Random)
-    _old_listing: Listing | None = None
+    _stale_listing: Listing | None = None
     _addresses: dict[str, Address] = field(factory=dict)
-    _order: itertools.count = field(factory=itertools.count)
-    _starts: itertools.count = field(factory=lambda: itertools.count(1))
+    _sequence: itertools.count = field(factory=itertools.count)
+    _incarnations: itertools.count = field(factory=lambda: itertools.count(1))
 
     def __attrs_post_init__(self) -> None:
         self.generator = random.Random(self.seed)
@@ -143,7 +143,7 @@
         self.services[name] = number
         address = f"10.0.0.{number}:443"
         self.apply(
-            Service(name=name, address=address, slots=slots, queue=6, classes=CLASSES)
+            Service(name=name, address=address, slots=slots, queue=6, classes=REQUEST_CLASSES)
         )
         members = tuple(
             Upstream(name=upstream, address=str(self._make_address(upstream)))
@@ -167,7 +167,7 @@
             name=name,
             address=address,
             balancer=True,
-            incarnation=next(self._starts),
+            incarnation=next(self._incarnations),
             seed_addresses=self._list_balancer_addresses(),
         )
         lease = Lease(kind="lease", name="acceptor", node=name, time_to_live=3.0)
@@ -181,7 +181,7 @@
             name=name,
             address=self._make_address(name),
             balancer=False,
-            incarnation=next(self._starts) * 100,
+            incarnation=next(self._incarnations) * 100,
             seed_addresses=self._list_balancer_addresses(),
         )
         state = AgentState(
@@ -235,7 +235,7 @@
         if current is not None:
             self.platform.apply(Delete(kind=kind, name=name, expected=current.version))
 
-    def list_machine(self, name: str, *, leaving: bool) -> None:
+    def put_machine(self, name: str, *, leaving: bool) -> None:
         """Put a VM on the platform's list."""
         others = tuple(m for m in self.platform.machines if m.name != name)
         self.platform.machines = (*others, Machine(name=name, leaving=leaving))
@@ -252,10 +252,10 @@
             first_cid=self.generator.randbytes(8),
         )
         self.flows.append(flow)
-        self._send_first(flow)
+        self._send_initial(flow)
         return flow
 
-    def _send_first(self, flow: CallerFlow) -> None:
+    def _send_initial(self, flow: CallerFlow) -> None:
         head = bytes([0xC0, 0, 0, 0, 1, 8]) + flow.first_cid + bytes([0, 0])
         rest = MIN_INITIAL_BYTES - len(head) - 2
         datagram = head + (0x4000 | rest).to_bytes(2, "big")
@@ -272,7 +272,7 @@
             work=work,
             path=path,
             key=key,
-            sent=next(self._order),
+            sent=next(self._sequence),
         )
         self.attempts.append(attempt)
         flow.attempts.append(attempt)
@@ -324,7 +324,7 @@
         """Send again all that has not arrived, in both directions."""
         for flow in self.flows:
             if not flow.cid and not flow.broken:
-                self._send_first(flow)
+                self._send_initial(flow)
             for attempt in flow.unsent:
                 if flow.cid and not flow.broken:
                     self._send_attempt(attempt)
@@ -337,10 +337,10 @@
 
     # Messages.
 
-    def deliver(self, index: int = 0) -> None:
+    def deliver_message(self, index: int = 0) -> None:
         """Deliver one message and check the oracle."""
-        if self._is_cut(self.messages[index]):
-            self.lose(index)
+        if self._is_partitioned(self.messages[index]):
+            self.drop_message(index)
             return
         message = self.messages.pop(index)
         match message:
@@ -354,26 +354,26 @@
             case PlatformMessage():
                 self._call_platform(message)
             case PullMessage():
-                self._pull(message)
+                self._answer_pull(message)
             case PeerCall():
                 self._deliver_peer_call(message)
             case HandoverCall():
                 self._deliver_handover(message)
-        self.check()
+        self.check_invariants()
 
-    def _is_cut(self, message: Message) -> bool:
-        addresses = {self.nodes[name].address for name in self.cut}
+    def _is_partitioned(self, message: Message) -> bool:
+        addresses = {self.nodes[name].address for name in self.partitioned_nodes}
         match message:
             case FrameMessage(source=source, destination=destination):
                 return source in addresses or destination in addresses
             case PlatformMessage(node=node):
-                return node in self.cut
+                return node in self.partitioned_nodes
             case PullMessage() | PeerCall() | HandoverCall():
-                return message.node in self.cut or message.peer in addresses
+                return message.node in self.partitioned_nodes or message.peer in addresses
             case _:
                 return False
 
-    def lose(self, index: int) -> None:
+    def drop_message(self, index: int) -> None:
         """Lose one message, as its transport would notice."""
         message = self.messages.pop(index)
         match message:
@@ -383,19 +383,19 @@
             case PullMessage(node=node, peer=peer):
                 self.dispatch(node, events.PullFailed(peer=peer))
             case PeerCall():
-                self._fail_peer_call(message, gone=False)
+                self._fail_peer_call(message, not_accepted=False)
             case HandoverCall(node=node):
                 done = events.HandoverDone(accepted=False, now=self.now)
                 self.dispatch(node, done)
-        self.check()
+        self.check_invariants()
 
-    def duplicate(self, index: int) -> None:
+    def duplicate_message(self, index: int) -> None:
         """Double a datagram; streams between nodes cannot double."""
         message = self.messages[index]
         if isinstance(message, DATAGRAMS):
             self.messages.append(message)
 
-    def settle(self, seconds: float = 0.0, *, step: float = TICK) -> None:
+    def settle(self, seconds: float = 0.0, *, step: float = TICK_SECONDS) -> None:
         """Deliver everything, and let time pass in small steps."""
         end = self.now + seconds
         for _ in range(MAX_SETTLE_STEPS):
@@ -410,7 +410,7 @@
         for _ in range(MAX_DELIVERIES):
             if not self.messages:
                 return
-            self.deliver(0)
+            self.deliver_message(0)
         kinds = sorted({type(message).__name__ for message in self.messages})
         raise OracleError(f"nodes talk without end: {kinds} {self.messages[:4]}")
 
@@ -423,13 +423,13 @@
             for run in due:
                 run.cancelled = run.running
                 run.running = False
-        waiting, self.watches = self.watches, []
+        waiting, self.pending_watches = self.pending_watches, []
         self.messages += waiting
         for process in list(self.nodes.values()):
             self._read_load(process)
             seed = self.generator.getrandbits(16)
             self._tick(process, events.Tick(now=self.now, seed=seed))
-        self.check()
+        self.check_invariants()
 
     def _tick(self, process: ProcessFake, tick: events.Tick) -> None:
         if not process.frozen:
@@ -456,7 +456,7 @@
             raise OracleError(f"{name} went back to generation {generation}")
         process.highest_generation = generation
         for effect in todo:
-            self._carry_out(process, effect)
+            self._execute(process, effect)
 
     def _dispatch_at(self, address: Address, event: Event) -> None:
         for process in self.nodes.values():
@@ -472,15 +472,15 @@
         process.exited = True
         upstream = self.upstreams.get(name)
         if upstream is not None:
-            self._cancel(upstream, [r for r in upstream.journal if r.running])
+            self._cancel_runs(upstream, [r for r in upstream.journal if r.running])
         for flow in process.flows.values():
             flow.caller_flow.broken = True
         for exchange in process.exchanges.values():
             if exchange.peer is not None:
-                self._fail_peer_call(exchange.peer, gone=False)
+                self._fail_peer_call(exchange.peer, not_accepted=False)
         process.exchanges.clear()
 
-    def _cancel(self, upstream: FakeUpstream, runs: list[Run]) -> None:
+    def _cancel_runs(self, upstream: FakeUpstream, runs: list[Run]) -> None:
         due = self.now + self.cancel_delay
         upstream.cancels += [Cancel(run, due) for run in runs]
 
@@ -504,7 +504,7 @@
 
     # Upstreams.
 
-    def finish(self, run: Run, *, answered: bool = True, shed: bool = False) -> None:
+    def finish_run(self, run: Run, *, answered: bool = True, shed: bool = False) -> None:
         """End a piece of work, with a whole answer or without one."""
         run.running = False
         run.shed = shed
@@ -535,7 +535,7 @@
 
     # Effects.
 
-    def _carry_out(self, process: ProcessFake, effect: Effect) -> None:
+    def _execute(self, process: ProcessFake, effect: Effect) -> None:
         match effect:
             case effects.Send(destination=destination, frame=frame):
                 message = FrameMessage(process.address, destination, frame)
@@ -544,7 +544,7 @@
                 payload = int.from_bytes(datagram[:4], "big")
                 self.messages.append(ToCallerMessage(payload))
             case effects.Deliver():
-                self._deliver_to_quic(process, effect)
+                self._deliver_to_agent(process, effect)
             case effects.MoveReplyPath(old=old, new=new):
                 for flow in process.flows.values():
                     if flow.reply_to == old:
@@ -568,16 +568,16 @@
                 call = HandoverCall(process.name, peer, upstream, transfers)
                 self.messages.append(call)
             case effects.Exit():
-                self._exit(process)
+                self._exit_process(process)
             case _:
-                self._carry_out_for_request(process, effect)
+                self._execute_for_request(process, effect)
 
-    def _exit(self, process: ProcessFake) -> None:
+    def _exit_process(self, process: ProcessFake) -> None:
         if any(flow.caller_flow.attempts for flow in process.flows.values()):
             raise OracleError(f"{process.name} left with open flows")
         process.exited = True
 
-    def _carry_out_for_request(self, process: ProcessFake, effect: Effect) -> None:
+    def _execute_for_request(self, process: ProcessFake, effect: Effect) -> None:
         exchange = process.exchanges.get(getattr(effect, "request", -1))
         if exchange is None:
             return
@@ -593,13 +593,13 @@
                     if (run.request, run.incarnation) == (request, incarnation)
                     and run.running
                 ]
-                self._cancel(upstream, aborted)
+                self._cancel_runs(upstream, aborted)
             case effects.SendAnswer(answer=answer, ticket=ticket, outcome=outcome):
-                self._answer(process, exchange, outcome, answer.body, ticket, 0)
+                self._send_answer(process, exchange, outcome, answer.body, ticket, 0)
             case effects.RefuseRequest(
                 outcome=outcome, ticket=ticket, retry_after=pause
             ):
-                self._answer(process, exchange, outcome, b"", ticket, pause)
+                self._send_answer(process, exchange, outcome, b"", ticket, pause)
             case effects.ResetAnswerStream():
                 process.exchanges.pop(exchange.number, None)
             case effects.ForwardRequest(peer=peer):
@@ -614,7 +614,7 @@
             case effects.DeclineForwardedRequest():
                 process.exchanges.pop(exchange.number, None)
                 assert exchange.peer is not None
-                self._fail_peer_call(exchange.peer, gone=True)
+                self._fail_peer_call(exchange.peer, not_accepted=True)
 
     def _start_run(self, process: ProcessFake, exchange: Exchange) -> None:
         upstream = self.upstreams[process.name]
@@ -630,7 +630,7 @@
         if attempt.flow.service != upstream.service:
             raise OracleError(f"{attempt.work} ran on a wrong service")
 
-    def _answer(
+    def _send_answer(
         self,
         process: ProcessFake,
         exchange: Exchange,
@@ -672,7 +672,7 @@
         if not live:
             return
         process = self.generator.choice(live)
-        if process.name in self.cut:
+        if process.name in self.partitioned_nodes:
             return
         assert isinstance(process.state, BalancerState)
         numbers = {
@@ -690,14 +690,14 @@
         )
         self.dispatch(process.name, event)
 
-    def _deliver_to_quic(self, process: ProcessFake, effect: effects.Deliver) -> None:
+    def _deliver_to_agent(self, process: ProcessFake, effect: effects.Deliver) -> None:
         packet = read_packet_header(effect.datagram)
         assert packet is not None
         self._check_route(process, packet.cid)
         for flow in process.flows.values():
             if packet.cid in (flow.cid, flow.caller_flow.first_cid):
                 flow.reply_to = effect.reply_to
-                self._take_packet(process, flow, effect.datagram, packet.cid)
+                self._receive_packet(process, flow, effect.datagram, packet.cid)
                 return
         if packet.cid[0:1] and len(packet.cid) == CONNECTION_ID_LENGTH:
             return
@@ -735,7 +735,7 @@
         flow.unacknowledged.append(connected)
         self._send_payload(process, flow, connected)
 
-    def _take_packet(
+    def _receive_packet(
         self, process: ProcessFake, flow: AgentFlow, datagram: bytes, cid: bytes
     ) -> None:
         if cid != flow.cid:
@@ -749,9 +749,9 @@
         if attempt in attempt.flow.unsent:
             attempt.flow.unsent.remove(attempt)
         exchange = Exchange(next(process.numbers), attempt, flow=flow)
-        self._announce(process, exchange, flow.number, number)
+        self._dispatch_request(process, exchange, flow.number, number)
 
-    def _announce(
+    def _dispatch_request(
         self, process: ProcessFake, exchange: Exchange, flow: int, stream: int
     ) -> None:
         attempt = exchange.attempt
@@ -782,16 +782,16 @@
                 flow.agent = agent
             case Answered(attempt=attempt):
                 if attempt.outcome is None:
-                    self._take_answer(payload)
+                    self._receive_answer(payload)
         for process in self.nodes.values():
             for agent_flow in process.flows.values():
                 if payload in agent_flow.unacknowledged:
                     agent_flow.unacknowledged.remove(payload)
 
-    def _take_answer(self, payload: Answered) -> None:
+    def _receive_answer(self, payload: Answered) -> None:
         attempt = payload.attempt
         attempt.outcome = payload.outcome
-        attempt.answered = next(self._order)
+        attempt.answered = next(self._sequence)
         attempt.body = payload.body
         attempt.ticket = payload.ticket
         attempt.retry_after = payload.retry_after
@@ -807,18 +807,18 @@
         writes = isinstance(message.call, (Put, Delete))
         if writes:
             listed = tuple(self.platform.objects.values())
-            self._old_listing = Listing(objects=listed, revision=self.platform.revision)
+            self._stale_listing = Listing(objects=listed, revision=self.platform.revision)
         outcome = self.platform.apply(message.call)
         if isinstance(message.call, Watch) and isinstance(outcome, Changed):
             expired = self.now - message.asked > message.call.patience
             if not outcome.names and not expired:
-                self.watches.append(message)
+                self.pending_watches.append(message)
                 return
-        if isinstance(outcome, Listing) and self.stale_lists and self._old_listing:
-            self.stale_lists -= 1
-            outcome = self._old_listing
-        if writes and self.lose_answers:
-            self.lose_answers -= 1
+        if isinstance(outcome, Listing) and self.stale_list_count and self._stale_listing:
+            self.stale_list_count -= 1
+            outcome = self._stale_listing
+        if writes and self.lost_answer_count:
+            self.lost_answer_count -= 1
             outcome = Unavailable(reason="answer lost", perhaps_applied=True)
         self._answer_platform(message, outcome)
 
@@ -836,7 +836,7 @@
             ),
         )
 
-    def _pull(self, message: PullMessage) -> None:
+    def _answer_pull(self, message: PullMessage) -> None:
         for process in self.nodes.values():
             reachable = not (process.exited or process.frozen)
             if process.address == message.peer and reachable:
@@ -856,9 +856,9 @@
                 exchange = Exchange(
                     next(process.numbers), message.attempt, peer=message
                 )
-                self._announce(process, exchange, -1, -1)
+                self._dispatch_request(process, exchange, -1, -1)
                 return
-        self._fail_peer_call(message, gone=True)
+        self._fail_peer_call(message, not_accepted=True)
 
     def _return_peer_call(self, message: PeerCall) -> None:
         answer = message.answer
@@ -876,14 +876,14 @@
                 ),
             )
 
-    def _fail_peer_call(self, message: PeerCall, *, gone: bool) -> None:
+    def _fail_peer_call(self, message: PeerCall, *, not_accepted: bool) -> None:
         if not self._is_same_process(message):
             return
         self.dispatch(
             message.node,
             events.PeerFailed(
                 request=message.request,
-                not_accepted=gone,
+                not_accepted=not_accepted,
                 now=self.now,
                 seed=self.generator.getrandbits(16),
             ),
@@ -919,18 +919,18 @@
                 return
         self.dispatch(message.node, events.HandoverDone(accepted=False, now=self.now))
 
-    def check(self) -> None:
+    def check_invariants(self) -> None:
         """Raise `OracleError` where a promise does not hold."""
         check_slots(self.upstreams.values())
         check_runs(self.upstreams.values(), self.attempts)
         check_accepted(self.nodes.values(), self.accepted)
 
-    def heal(self) -> None:
+    def clear_faults(self) -> None:
         """Undo all faults and let everything finish."""
         self.platform_down = False
-        self.lose_answers = self.stale_lists = 0
+        self.lost_answer_count = self.stale_list_count = 0
         self.platform.machines = ()
-        self.cut.clear()
+        self.partitioned_nodes.clear()
         for name, process in list(self.nodes.items()):
             if process.frozen:
                 self.thaw(name)
@@ -940,18 +940,18 @@
                 self.start_balancer(name)
             else:
                 self.start_agent(name)
-        for _ in range(HEAL_ROUNDS):
+        for _ in range(RECOVERY_ROUNDS):
             self.retransmit()
-            self.settle(1.0, step=HEAL_STEP)
+            self.settle(1.0, step=RECOVERY_STEP_SECONDS)
             for run in self.list_running():
                 if run.attempt.path != "/stream":
-                    self.finish(run)
-        self.settle(HEAL_SECONDS, step=HEAL_STEP)
+                    self.finish_run(run)
+        self.settle(RECOVERY_SECONDS, step=RECOVERY_STEP_SECONDS)
         for _ in range(2):
             self.retransmit()
             self.settle(0.5)
 
-    def check_end(self) -> None:
+    def check_final_state(self) -> None:
         """Demand an answer to every request, and agreement between nodes."""
         for attempt in self.attempts:
             waiting = attempt.outcome is None and not attempt.cancelled
--- a/shedsill/testing/links.py
+++ b/shedsill/testing/links.py
@@ -18,8 +18,8 @@
 
 from shedsill.testing.ports import find_ports
 
-CHUNK = 65_536
-POLL = 0.05
+CHUNK_BYTES = 65_536
+POLL_SECONDS = 0.05
 
 Link = tuple[str, str]
 """Sender and receiver, by host."""
@@ -34,17 +34,17 @@
     delay, jitter : float
         Seconds by which everything is late, and by how much more at random; with
         jitter, datagrams overtake each other.
-    loss, copies : float
+    loss_share, duplicate_share : float
         Shares of datagrams that are lost, and that come twice.
-    cut : bool
+    blocked : bool
         Whether nothing passes; bytes of connections wait until it does.
     """
 
     delay: float = 0.0
     jitter: float = 0.0
-    loss: float = 0.0
-    copies: float = 0.0
-    cut: bool = False
+    loss_share: float = 0.0
+    duplicate_share: float = 0.0
+    blocked: bool = False
 
 
 @frozen
@@ -55,7 +55,7 @@
     messages: int
 
 
-class _Listener(asyncio.DatagramProtocol):
+class _LinkReceiver(asyncio.DatagramProtocol):
     """Takes what one node sends to another."""
 
     def __init__(self, links: Links, link: Link, channel: str) -> None:
@@ -64,7 +64,7 @@
         self._channel = channel
 
     def datagram_received(self, data: bytes, addr: tuple) -> None:
-        self._links.carry(self._link, self._channel, data)
+        self._links.forward_datagram(self._link, self._channel, data)
 
 
 @define(eq=False)
@@ -86,7 +86,7 @@
     _listeners: list = field(factory=list)
     _writers: dict[asyncio.StreamWriter, Link] = field(factory=dict)
 
-    async def join(self, host: str) -> NodePorts:
+    async def add_node(self, host: str) -> NodePorts:
         """Connect a new node with all others; return its ports."""
         if host in self.ports:
             return self.ports[host]
@@ -107,49 +107,49 @@
         link = (sender, receiver)
         for channel in ("packets", "messages"):
             transport, _protocol = await loop.create_datagram_endpoint(
-                lambda c=channel: _Listener(self, link, c),
+                lambda c=channel: _LinkReceiver(self, link, c),
                 local_addr=(receiver, getattr(ports, channel)),
             )
             self._listeners.append(transport)
 
-        async def relay(
+        async def relay_connection(
             reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
             target = (receiver, self.ports[receiver].messages)
-            await self.relay(link, target, reader, writer)
+            await self.relay_connection(link, target, reader, writer)
 
-        server = await asyncio.start_server(relay, receiver, ports.messages)
+        server = await asyncio.start_server(relay_connection, receiver, ports.messages)
         self._listeners.append(server)
 
     async def open_stream(self, link: Link, host: str, target: tuple) -> int:
         """Open a proxy for connections to one target; return its port."""
         (port,) = find_ports(1)
 
-        async def relay(
+        async def relay_connection(
             reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
-            await self.relay(link, target, reader, writer)
+            await self.relay_connection(link, target, reader, writer)
 
-        self._listeners.append(await asyncio.start_server(relay, host, port))
+        self._listeners.append(await asyncio.start_server(relay_connection, host, port))
         return port
 
     # Datagrams
 
-    def carry(self, link: Link, channel: str, data: bytes) -> None:
+    def forward_datagram(self, link: Link, channel: str, data: bytes) -> None:
         """Pass a datagram on, or do to it what the link's fault says."""
         fault = self.faults.get(link)
         if fault is None:
-            self._deliver(link, channel, data)
+            self._send_datagram(link, channel, data)
             return
-        if fault.cut or self.generator.random() < fault.loss:
+        if fault.blocked or self.generator.random() < fault.loss_share:
             return
-        copies = 2 if self.generator.random() < fault.copies else 1
+        copies = 2 if self.generator.random() < fault.duplicate_share else 1
         loop = asyncio.get_running_loop()
         for _ in range(copies):
             after = fault.delay + self.generator.uniform(0.0, fault.jitter)
-            loop.call_later(after, self._deliver, link, channel, data)
+            loop.call_later(after, self._send_datagram, link, channel, data)
 
-    def _deliver(self, link: Link, channel: str, data: bytes) -> None:
+    def _send_datagram(self, link: Link, channel: str, data: bytes) -> None:
         sender, receiver = link
         target = (receiver, getattr(self.ports[receiver], channel))
         # A full buffer or a closed port loses a datagram, as a network does.
@@ -158,7 +158,7 @@
 
     # Connections
 
-    async def relay(
+    async def relay_connection(
         self,
         link: Link,
         target: tuple,
@@ -175,29 +175,29 @@
         self._writers |= {writer: link, far_writer: link}
         try:
             await asyncio.gather(
-                self._pipe(link, reader, far_writer),
-                self._pipe(back, far_reader, writer),
+                self._relay_bytes(link, reader, far_writer),
+                self._relay_bytes(back, far_reader, writer),
             )
         except OSError:
-            # Reset by one end or by `reset`; both ends see it.
+            # Reset by one end or by `reset_connections`; both ends see it.
             far_writer.transport.abort()
             writer.transport.abort()
         finally:
             del self._writers[writer], self._writers[far_writer]
 
-    async def _pipe(
+    async def _relay_bytes(
         self, link: Link, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        while data := await reader.read(CHUNK):
-            while (fault := self.faults.get(link)) and fault.cut:
-                await asyncio.sleep(POLL)
+        while data := await reader.read(CHUNK_BYTES):
+            while (fault := self.faults.get(link)) and fault.blocked:
+                await asyncio.sleep(POLL_SECONDS)
             if fault is not None:
                 await asyncio.sleep(fault.delay)
             writer.write(data)
             await writer.drain()
         writer.close()
 
-    def reset(self, host: str) -> None:
+    def reset_connections(self, host: str) -> None:
         """Reset all connections of a node."""
         for writer, link in list(self._writers.items()):
             if host in link:
--- a/shedsill/testing/object_store.py
+++ b/shedsill/testing/object_store.py
@@ -1,7 +1,7 @@
 """A stand-in for the hosting platform's object store, over HTTP.
 
 Objects are kept by kind and name with a revision, lists come in pages, watches
-carry events, and history can be forgotten.  `Faults` makes the store slow, down,
+carry events, and history can be forgotten.  `StoreFaults` makes the store slow, down,
 or lose the answers of writes.
 """
 
@@ -13,28 +13,28 @@
 from aiohttp import web
 from attrs import define, field
 
-PAGE = 500
-WATCH_STEP = 0.01
+PAGE_SIZE = 500
+WATCH_POLL_SECONDS = 0.01
 HTTP_CONFLICT = 409
 HTTP_GONE = 410
 
 
 @define
-class Faults:
+class StoreFaults:
     """Faults that can be switched on.
 
     Attributes
     ----------
     delay : float
         Seconds before each answer.
-    down : str
+    failure_mode : str
         Empty, ``busy`` (503), ``reset`` or ``silent``.
     lose_answers : int
         Writes whose effect is kept while the answer is lost.
     """
 
     delay: float = 0.0
-    down: str = ""
+    failure_mode: str = ""
     lose_answers: int = 0
 
 
@@ -42,13 +42,13 @@
 class ObjectStoreStandIn:
     """The stand-in's state and handlers; counts its calls."""
 
-    faults: Faults = field(factory=Faults)
-    page: int = PAGE
+    faults: StoreFaults = field(factory=StoreFaults)
+    page_size: int = PAGE_SIZE
     revision: int = 0
     calls: int = 0
     objects: dict[tuple[str, str], dict[str, Any]] = field(factory=dict)
     history: list[tuple[int, str, dict[str, Any]]] = field(factory=list)
-    forgotten: int = 0
+    dropped_revision: int = 0
 
     def make_app(self) -> web.Application:
         """Return the HTTP application."""
@@ -64,15 +64,15 @@
         """Write an object as the operator would; return its revision."""
         self.revision += 1
         meta = {"name": name, "rev": self.revision, "finalizers": []}
-        self._keep(kind, {"meta": meta, "spec": spec, "status": None})
+        self._record_object(kind, {"meta": meta, "spec": spec, "status": None})
         return self.revision
 
-    def forget_history(self) -> None:
+    def drop_history(self) -> None:
         """Drop all changes; watches from before get 410."""
         self.history.clear()
-        self.forgotten = self.revision
+        self.dropped_revision = self.revision
 
-    def _keep(self, kind: str, item: dict[str, Any]) -> None:
+    def _record_object(self, kind: str, item: dict[str, Any]) -> None:
         self.objects[kind, item["meta"]["name"]] = item
         self.history.append((self.revision, kind, {"object": item, "deleted": False}))
 
@@ -81,7 +81,7 @@
         self.calls += 1
         if self.faults.delay:
             await asyncio.sleep(self.faults.delay)
-        match self.faults.down:
+        match self.faults.failure_mode:
             case "busy":
                 raise web.HTTPServiceUnavailable
             case "reset":
@@ -100,10 +100,10 @@
             return await self._watch(kind, request)
         after = request.query.get("after", "")
         names = sorted(n for k, n in self.objects if k == kind and n > after)
-        items = [self.objects[kind, name] for name in names[: self.page]]
+        items = [self.objects[kind, name] for name in names[: self.page_size]]
         body = {
             "items": items,
-            "truncated": len(names) > self.page,
+            "truncated": len(names) > self.page_size,
             "current_rev": self.revision,
         }
         return web.json_response(body)
@@ -112,12 +112,12 @@
         since = int(request.query["watch"])
         end = asyncio.get_running_loop().time() + int(request.query["wait_ms"]) / 1000
         while True:
-            if since < self.forgotten:
+            if since < self.dropped_revision:
                 return web.json_response({}, status=HTTP_GONE)
             events = [e for rev, k, e in self.history if k == kind and rev > since]
             if events or asyncio.get_running_loop().time() >= end:
                 break
-            await asyncio.sleep(WATCH_STEP)
+            await asyncio.sleep(WATCH_POLL_SECONDS)
         return web.json_response({"events": events, "current_rev": self.revision})
 
     async def _get(self, request: web.Request) -> web.Response:
--- a/shedsill/testing/oracle.py
+++ b/shedsill/testing/oracle.py
@@ -1,4 +1,4 @@
-"""What `World` checks after every step."""
+"""What `Simulation` checks after every step."""
 
 from __future__ import annotations
 
--- a/shedsill/testing/parts.py
+++ b/shedsill/testing/parts.py
@@ -1,4 +1,4 @@
-"""The parts of a `World`: callers, agents' flows, upstreams and messages."""
+"""The parts of a `Simulation`: callers, agents' flows, upstreams and messages."""
 
 from __future__ import annotations
 
--- a/shedsill/testing/platform.py
+++ b/shedsill/testing/platform.py
@@ -34,12 +34,12 @@
     Watch,
 )
 
-MAX_VALUE = 1_048_576
-WATCH_STEP = 0.02
+MAX_VALUE_BYTES = 1_048_576
+WATCH_POLL_SECONDS = 0.02
 
 
 @define
-class Faults:
+class PlatformFaults:
     """Faults that can be switched on."""
 
     down: bool = False
@@ -53,15 +53,15 @@
     """The stand-in's state and handlers; counts its calls."""
 
     store: MemoryPlatform = field(factory=MemoryPlatform)
-    faults: Faults = field(factory=Faults)
+    faults: PlatformFaults = field(factory=PlatformFaults)
     calls: int = 0
     writes: int = 0
-    _before: Listing | None = None
+    _listing_before_write: Listing | None = None
 
     def make_app(self) -> web.Application:
         """Return the HTTP application."""
         app = web.Application(
-            client_max_size=2 * MAX_VALUE, middlewares=[self._apply_faults]
+            client_max_size=2 * MAX_VALUE_BYTES, middlewares=[self._apply_faults]
         )
         app.router.add_get("/objects", self._list)
         app.router.add_get("/objects/{kind}/{name}", self._get)
@@ -90,26 +90,26 @@
         kinds = tuple(request.query["kinds"].split(","))
         listing = self.store.apply(List(kinds=kinds))
         assert isinstance(listing, Listing)
-        if self.faults.stale_reads > 0 and self._before is not None:
+        if self.faults.stale_reads > 0 and self._listing_before_write is not None:
             self.faults.stale_reads -= 1
-            listing = self._before
-        items = [_show(item) for item in listing.objects if item.kind in kinds]
+            listing = self._listing_before_write
+        items = [_encode_object(item) for item in listing.objects if item.kind in kinds]
         return web.json_response({"items": items, "revision": listing.revision})
 
     async def _get(self, request: web.Request) -> web.Response:
         found = self.store.apply(Get(**request.match_info))
         assert isinstance(found, Found)
-        shown = _show(found.object) if found.object else None
+        shown = _encode_object(found.object) if found.object else None
         return web.json_response({"object": shown})
 
     async def _write(self, request: web.Request) -> web.Response:
         body = await request.read()
-        if len(body) > MAX_VALUE:
-            raise web.HTTPRequestEntityTooLarge(MAX_VALUE, len(body))
+        if len(body) > MAX_VALUE_BYTES:
+            raise web.HTTPRequestEntityTooLarge(MAX_VALUE_BYTES, len(body))
         expected = int(request.headers.get("If-Match", "0"))
         target = dict(request.match_info)
         self.writes += 1
-        self._before = self._snapshot()
+        self._listing_before_write = self._snapshot()
         if request.method == "PUT":
             value = await request.json()
             outcome = self.store.apply(Put(**target, value=value, expected=expected))
@@ -123,7 +123,7 @@
             case Stored(version=version):
                 return web.json_response({"version": version})
             case Conflict(current=current):
-                shown = _show(current) if current else None
+                shown = _encode_object(current) if current else None
                 return web.json_response({"current": shown}, status=409)
         raise web.HTTPInternalServerError
 
@@ -141,7 +141,7 @@
         end = loop.time() + call.patience
         changed = self.store.apply(call)
         while not changed.names and loop.time() < end and not self.faults.down:
-            await asyncio.sleep(WATCH_STEP)
+            await asyncio.sleep(WATCH_POLL_SECONDS)
             changed = self.store.apply(call)
         if self.faults.down:
             raise web.HTTPServiceUnavailable(text="down")
@@ -175,7 +175,7 @@
         return web.json_response({"calls": self.calls, "writes": self.writes})
 
 
-def _show(item: StoredObject) -> dict[str, Any]:
+def _encode_object(item: StoredObject) -> dict[str, Any]:
     return {
         "kind": item.kind,
         "name": item.name,
--- a/shedsill/tests/test_datagram_checkpoints.py
+++ b/shedsill/tests/test_datagram_checkpoints.py
@@ -7,7 +7,7 @@
 deadline of 3 s after such a loss.  A caller that is told within 1 s of the return has
 time for another try.
 
-The world in memory stands in for VMs and store; callers that are silent are those
+The simulation in memory stands in for VMs and store; callers that are silent are those
 whose packets are led nowhere.
 """
 
@@ -25,8 +25,8 @@
     encode_message,
 )
 from shedsill.datagram._packet import measure_advance
-from shedsill.testing.datagrams import World
-from shedsill.testing.flow_peers import Caller
+from shedsill.testing.datagram_simulation import Simulation
+from shedsill.testing.flow_endpoints import Caller
 
 BALANCERS = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
 AGENTS = ("10.1.0.1", "10.1.0.2", "10.1.0.3", "10.1.0.4")
@@ -38,188 +38,188 @@
 
 
 @pytest.fixture
-def world() -> World:
+def simulation() -> Simulation:
     """Three balancers and four upstreams."""
-    world = World(services=("dispatcher",))
+    simulation = Simulation(services=("dispatcher",))
     for host in AGENTS:
-        world.add_agent(host, "dispatcher", first=True)
+        simulation.add_agent(host, "dispatcher", knows_all_flows=True)
     for host in BALANCERS:
-        world.add_balancer(host)
-    world.run(3.0)
-    return world
+        simulation.add_balancer(host)
+    simulation.run(3.0)
+    return simulation
 
 
-def open_flows(world: World, count: int = 30) -> list[Caller]:
+def open_flows(simulation: Simulation, count: int = 30) -> list[Caller]:
     callers = [
-        world.call("dispatcher", BALANCERS[n % 3], requests=LONG) for n in range(count)
+        simulation.add_caller("dispatcher", BALANCERS[n % 3], requests=LONG) for n in range(count)
     ]
-    world.run(4.5)
-    assert all(caller.open and not caller.outcome for caller in callers)
+    simulation.run(4.5)
+    assert all(caller.is_open and not caller.outcome for caller in callers)
     return callers
 
 
-def silence(world: World, callers: list[Caller]) -> None:
+def silence(simulation: Simulation, callers: list[Caller]) -> None:
     """Have callers send nothing more: all they sent was acknowledged."""
     for caller in callers:
-        world.routers[caller.flow] = "nowhere"
+        simulation.balancer_by_flow[caller.flow] = "nowhere"
 
 
-def cut_power(world: World, *, upstreams: tuple[str, ...] = AGENTS) -> None:
+def cut_power(simulation: Simulation, *, upstreams: tuple[str, ...] = AGENTS) -> None:
     for host in (*BALANCERS, *AGENTS):
-        world.kill(host)
+        simulation.kill(host)
     for host in upstreams:
-        world.crash_upstream(host)
+        simulation.crash_upstream(host)
 
 
-def return_power(world: World, *, upstreams: tuple[str, ...] = AGENTS) -> None:
+def return_power(simulation: Simulation, *, upstreams: tuple[str, ...] = AGENTS) -> None:
     for host in upstreams:
-        world.start_upstream(host, "dispatcher")
+        simulation.start_upstream(host, "dispatcher")
     for host in AGENTS:
-        world.add_agent(host, "dispatcher")
+        simulation.add_agent(host, "dispatcher")
     for host in BALANCERS:
-        world.add_balancer(host)
+        simulation.add_balancer(host)
 
 
-def test_callers_at_work_are_freed_when_power_is_back(world: World) -> None:
-    callers = open_flows(world)
-    silence(world, callers)
-    cut_power(world)
-    world.run(DARK)
-    return_power(world)
-    world.run(1.0)
+def test_callers_at_work_are_freed_when_power_is_back(simulation: Simulation) -> None:
+    callers = open_flows(simulation)
+    silence(simulation, callers)
+    cut_power(simulation)
+    simulation.run(DARK)
+    return_power(simulation)
+    simulation.run(1.0)
     assert [caller.outcome for caller in callers] == ["reset"] * len(callers)
 
 
-def test_they_are_freed_where_upstreams_are_slow_to_say_so(world: World) -> None:
+def test_they_are_freed_where_upstreams_are_slow_to_say_so(simulation: Simulation) -> None:
     """The agents answer first, and do not know the new runs yet."""
-    callers = open_flows(world)
-    silence(world, callers)
-    cut_power(world)
-    world.run(DARK)
-    world.first_beat = 0.6
-    return_power(world)
-    world.run(0.5)
-    assert not world.resets
-    world.run(0.7)
-    assert len(world.resets) == len(callers)
-
-
-def test_flows_of_upstreams_that_live_are_kept(world: World) -> None:
+    callers = open_flows(simulation)
+    silence(simulation, callers)
+    cut_power(simulation)
+    simulation.run(DARK)
+    simulation.first_heartbeat_delay = 0.6
+    return_power(simulation)
+    simulation.run(0.5)
+    assert not simulation.reset_callers
+    simulation.run(0.7)
+    assert len(simulation.reset_callers) == len(callers)
+
+
+def test_flows_of_upstreams_that_live_are_kept(simulation: Simulation) -> None:
     """All nodes were killed, and one upstream of four ended meanwhile."""
-    callers = open_flows(world)
+    callers = open_flows(simulation)
     ended = AGENTS[:1]
-    dead = {c.flow for c in callers if world.find_holder(c) in ended}
+    dead = {c.flow for c in callers if simulation.find_upstream_host(c) in ended}
     assert 0 < len(dead) < len(callers)
-    silence(world, callers)
-    cut_power(world, upstreams=ended)
-    world.run(0.3)
-    return_power(world, upstreams=ended)
-    world.run(6.0)
-    assert {caller.flow for caller in world.resets} == dead
+    silence(simulation, callers)
+    cut_power(simulation, upstreams=ended)
+    simulation.run(0.3)
+    return_power(simulation, upstreams=ended)
+    simulation.run(6.0)
+    assert {caller.flow for caller in simulation.reset_callers} == dead
 
 
-def test_restored_flows_find_their_upstream_at_once(world: World) -> None:
+def test_restored_flows_find_their_upstream_at_once(simulation: Simulation) -> None:
     """The caches are full again after all nodes were killed."""
-    callers = open_flows(world)
-    cut_power(world, upstreams=())
-    world.run(0.3)
-    return_power(world, upstreams=())
-    world.run(3.0)
-    assert not world.resets
+    callers = open_flows(simulation)
+    cut_power(simulation, upstreams=())
+    simulation.run(0.3)
+    return_power(simulation, upstreams=())
+    simulation.run(3.0)
+    assert not simulation.reset_callers
     answers = [caller.answers for caller in callers]
-    world.run(2.0)
+    simulation.run(2.0)
     assert all(c.answers > n for c, n in zip(callers, answers, strict=True))
 
 
-def test_an_opening_with_the_same_ports_is_placed_anew(world: World) -> None:
+def test_an_opening_with_the_same_ports_is_placed_anew(simulation: Simulation) -> None:
     """A caller may use its address and port again; the old flow counts for nothing."""
-    callers = open_flows(world, count=3)
+    callers = open_flows(simulation, count=3)
     caller = callers[0]
-    cut_power(world)
-    world.run(DARK)
+    cut_power(simulation)
+    simulation.run(DARK)
     for host in AGENTS[1:]:
-        world.start_upstream(host, "dispatcher")
-        world.add_agent(host, "dispatcher")
-    world.add_balancer(BALANCERS[0])
-    world.run(0.01)
-    assert world.nodes[BALANCERS[0]].flows[caller.flow].restored
-    caller.open = False
+        simulation.start_upstream(host, "dispatcher")
+        simulation.add_agent(host, "dispatcher")
+    simulation.add_balancer(BALANCERS[0])
+    simulation.run(0.01)
+    assert simulation.nodes[BALANCERS[0]].flows[caller.flow].restored
+    caller.is_open = False
     caller.answers = 0
-    caller.begin()
-    world.run(2.0)
-    assert caller.open
+    caller.open_flow()
+    simulation.run(2.0)
+    assert caller.is_open
     assert caller.answers > 1
     assert not caller.outcome
 
 
-def test_an_old_checkpoint_is_not_used(world: World) -> None:
+def test_an_old_checkpoint_is_not_used(simulation: Simulation) -> None:
     """Its flows' ports may be in use again."""
-    callers = open_flows(world)
-    silence(world, callers)
-    cut_power(world)
-    world.run(_checkpoint_collection.MAX_CHECKPOINT_AGE_SECONDS + 0.1)
-    return_power(world)
-    world.run(3.0)
-    assert not world.resets
-
-
-def test_a_planned_stop_reads_no_checkpoint(world: World) -> None:
-    open_flows(world)
-    world.stop(BALANCERS[1])
-    world.run(0.1)
-    world.kill(BALANCERS[1])
-    world.run(0.3)
-    world.add_balancer(BALANCERS[1])
-    world.run(0.01)
-    assert not world.nodes[BALANCERS[1]].flows
-
-
-def test_another_collector_takes_over(world: World) -> None:
-    callers = open_flows(world)
-    world.kill(BALANCERS[0])
+    callers = open_flows(simulation)
+    silence(simulation, callers)
+    cut_power(simulation)
+    simulation.run(_checkpoint_collection.MAX_CHECKPOINT_AGE_SECONDS + 0.1)
+    return_power(simulation)
+    simulation.run(3.0)
+    assert not simulation.reset_callers
+
+
+def test_a_planned_stop_reads_no_checkpoint(simulation: Simulation) -> None:
+    open_flows(simulation)
+    simulation.stop(BALANCERS[1])
+    simulation.run(0.1)
+    simulation.kill(BALANCERS[1])
+    simulation.run(0.3)
+    simulation.add_balancer(BALANCERS[1])
+    simulation.run(0.01)
+    assert not simulation.nodes[BALANCERS[1]].flows
+
+
+def test_another_collector_takes_over(simulation: Simulation) -> None:
+    callers = open_flows(simulation)
+    simulation.kill(BALANCERS[0])
     for number, caller in enumerate(callers):
-        world.routers[caller.flow] = BALANCERS[1 + number % 2]
-    world.run(10.0)
-    assert set(world.checkpoint) == {BALANCERS[1], BALANCERS[2]}
-    assert sum(map(len, world.checkpoint.values())) >= len(callers)
+        simulation.balancer_by_flow[caller.flow] = BALANCERS[1 + number % 2]
+    simulation.run(10.0)
+    assert set(simulation.checkpoint) == {BALANCERS[1], BALANCERS[2]}
+    assert sum(map(len, simulation.checkpoint.values())) >= len(callers)
 
 
-def test_a_collector_that_is_back_is_chosen_again(world: World) -> None:
-    open_flows(world)
-    world.kill(BALANCERS[0])
-    world.run(8.0)
-    states = [world.nodes[host] for host in BALANCERS[1:]]
+def test_a_collector_that_is_back_is_chosen_again(simulation: Simulation) -> None:
+    open_flows(simulation)
+    simulation.kill(BALANCERS[0])
+    simulation.run(8.0)
+    states = [simulation.nodes[host] for host in BALANCERS[1:]]
     assert {s.checkpoints.collector for s in states} == {BALANCERS[1]}
-    world.add_balancer(BALANCERS[0])
-    world.run(_checkpoint_collection.SILENT_COLLECTOR_BACKOFF_SECONDS + 3.0)
+    simulation.add_balancer(BALANCERS[0])
+    simulation.run(_checkpoint_collection.SILENT_COLLECTOR_BACKOFF_SECONDS + 3.0)
     assert {s.checkpoints.collector for s in states} == {BALANCERS[0]}
 
 
-def test_short_and_resting_flows_cost_no_write(world: World) -> None:
-    before = world.checkpoint_at
+def test_short_and_resting_flows_cost_no_write(simulation: Simulation) -> None:
+    before = simulation.checkpoint_at
     for _ in range(20):
-        world.call("dispatcher", BALANCERS[1])
-        world.run(0.2)
-    world.run(6.0)
-    assert world.checkpoint_at == before
+        simulation.add_caller("dispatcher", BALANCERS[1])
+        simulation.run(0.2)
+    simulation.run(6.0)
+    assert simulation.checkpoint_at == before
 
 
 def test_the_store_is_written_once_an_interval_whatever_the_size() -> None:
     """Twelve balancers make as many writes as three."""
     writes = []
     for balancers in (3, 12):
-        world = World(services=("dispatcher",))
-        world.add_agent(AGENTS[0], "dispatcher", first=True)
+        simulation = Simulation(services=("dispatcher",))
+        simulation.add_agent(AGENTS[0], "dispatcher", knows_all_flows=True)
         hosts = [f"10.0.0.{n + 10}" for n in range(balancers)]
         for host in hosts:
-            world.add_balancer(host)
-        world.run(3.0)
+            simulation.add_balancer(host)
+        simulation.run(3.0)
         for number in range(24):
-            world.call("dispatcher", hosts[number % balancers], requests=LONG)
+            simulation.add_caller("dispatcher", hosts[number % balancers], requests=LONG)
         seen = set()
         for _ in range(200):
-            world.run(0.1)
-            seen.add(world.checkpoint_at)
+            simulation.run(0.1)
+            seen.add(simulation.checkpoint_at)
         writes.append(len(seen))
     assert abs(writes[0] - writes[1]) <= 1
     assert writes[1] <= 20.0 / _checkpoint_collection.CHECKPOINT_INTERVAL_SECONDS + 1
@@ -239,57 +239,57 @@
     assert decode_message(encode_message(CheckpointTaken())) == CheckpointTaken()
 
 
-def test_what_is_known_already_is_left_alone(world: World) -> None:
+def test_what_is_known_already_is_left_alone(simulation: Simulation) -> None:
     """A checkpoint that is read late, after flows have moved on."""
-    callers = open_flows(world, count=3)
-    state = world.nodes[BALANCERS[0]]
+    callers = open_flows(simulation, count=3)
+    state = simulation.nodes[BALANCERS[0]]
     key = callers[0].flow
     known = state.flows[key]
     stale = OpenFlow(
         flow=key, host="10.1.0.9", service="dispatcher", boot="i-0", caller_ack=0
     )
     read = CheckpointRead(
-        parts={BALANCERS[0]: [stale]}, age=1.0, at_start=True, now=world.now
+        parts={BALANCERS[0]: [stale]}, age=1.0, at_start=True, now=simulation.now
     )
-    world._dispatch(BALANCERS[0], read)
+    simulation._dispatch(BALANCERS[0], read)
     assert state.flows[key] is known
 
 
-def test_a_flow_that_two_balancers_know_is_kept_once(world: World) -> None:
+def test_a_flow_that_two_balancers_know_is_kept_once(simulation: Simulation) -> None:
     """The one that routers use now knows how far the caller has got."""
-    (caller,) = open_flows(world, count=1)
-    world.routers[caller.flow] = BALANCERS[2]
-    world.run(6.0)
-    assert caller.flow in world.nodes[BALANCERS[0]].flows
+    (caller,) = open_flows(simulation, count=1)
+    simulation.balancer_by_flow[caller.flow] = BALANCERS[2]
+    simulation.run(6.0)
+    assert caller.flow in simulation.nodes[BALANCERS[0]].flows
     kept = {
         host: flow.caller_ack
-        for host, flows in world.checkpoint.items()
+        for host, flows in simulation.checkpoint.items()
         for flow in flows
         if flow.flow == caller.flow
     }
     assert list(kept) == [BALANCERS[2]]
-    behind = world.nodes[BALANCERS[0]].flows[caller.flow].caller_ack
+    behind = simulation.nodes[BALANCERS[0]].flows[caller.flow].caller_ack
     assert measure_advance(kept[BALANCERS[2]], behind) > 0
 
 
-def test_a_caller_that_asks_in_the_dark_is_freed(world: World) -> None:
+def test_a_caller_that_asks_in_the_dark_is_freed(simulation: Simulation) -> None:
     """It had rested, and its next copy goes to a balancer that has not started."""
-    callers = open_flows(world)
+    callers = open_flows(simulation)
     for caller in callers:
         caller.requests = caller.answers + 1
-    world.run(5.0)
-    silence(world, callers)
+    simulation.run(5.0)
+    silence(simulation, callers)
     for caller in callers:
         caller.outcome = ""
-    cut_power(world)
-    world.run(DARK)
-    return_power(world)
-    world.run(1.0)
-    assert len(world.resets) == len(callers)
-
-
-def test_an_answer_of_anyone_is_taken(world: World) -> None:
-    event = MessageReceived(message=CheckpointTaken(), source="10.9.9.9", now=world.now)
-    world._dispatch(BALANCERS[0], event)
-    world.run(3.0)
-    assert not world.resets
+    cut_power(simulation)
+    simulation.run(DARK)
+    return_power(simulation)
+    simulation.run(1.0)
+    assert len(simulation.reset_callers) == len(callers)
+
+
+def test_an_answer_of_anyone_is_taken(simulation: Simulation) -> None:
+    event = MessageReceived(message=CheckpointTaken(), source="10.9.9.9", now=simulation.now)
+    simulation._dispatch(BALANCERS[0], event)
+    simulation.run(3.0)
+    assert not simulation.reset_callers
--- a/shedsill/tests/test_datagram_deafness.py
+++ b/shedsill/tests/test_datagram_deafness.py
@@ -17,8 +17,8 @@
 
 from shedsill._catalogue import LogEvent
 from shedsill.datagram._failure_detection import LOST_AFTER_SECONDS
-from shedsill.testing.datagrams import Losses, World
-from shedsill.testing.flow_peers import Caller
+from shedsill.testing.datagram_simulation import PacketLoss, Simulation
+from shedsill.testing.flow_endpoints import Caller
 
 B1, B2, B3 = "10.0.0.1", "10.0.0.2", "10.0.0.3"
 AGENTS = tuple(f"10.1.0.{number}" for number in range(1, 9))
@@ -27,102 +27,102 @@
 
 
 @pytest.fixture
-def world() -> World:
+def simulation() -> Simulation:
     """Two balancers and eight upstreams, all known to each other for long."""
-    world = World(services=("dispatcher",))
+    simulation = Simulation(services=("dispatcher",))
     for host in AGENTS:
-        world.add_agent(host, "dispatcher", first=True)
+        simulation.add_agent(host, "dispatcher", knows_all_flows=True)
     for host in (B1, B2):
-        world.add_balancer(host)
-    world.run(3.0)
-    return world
+        simulation.add_balancer(host)
+    simulation.run(3.0)
+    return simulation
 
 
-def open_flows(world: World, balancer: str = B1) -> list[Caller]:
+def open_flows(simulation: Simulation, balancer: str = B1) -> list[Caller]:
     """Return callers with long flows, spread over the upstreams."""
     callers = []
     for _ in range(3 * len(AGENTS)):
-        callers.append(world.call("dispatcher", balancer, requests=LONG))
-        world.run(0.05)
-    holders = {world.find_holder(caller) for caller in callers}
+        callers.append(simulation.add_caller("dispatcher", balancer, requests=LONG))
+        simulation.run(0.05)
+    holders = {simulation.find_upstream_host(caller) for caller in callers}
     assert "" not in holders
     assert len(holders) > len(AGENTS) / 2
     return callers
 
 
-def restart_balancer(world: World, host: str) -> None:
-    world.kill(host)
-    world.run(0.3)
-    world.add_balancer(host)
+def restart_balancer(simulation: Simulation, host: str) -> None:
+    simulation.kill(host)
+    simulation.run(0.3)
+    simulation.add_balancer(host)
 
 
-def count_given_up(world: World) -> int:
-    return sum(note.event == LogEvent.UPSTREAM_LOST for _host, note in world.notes)
+def count_given_up(simulation: Simulation) -> int:
+    return sum(note.event == LogEvent.UPSTREAM_LOST for _host, note in simulation.log_entries)
 
 
 @pytest.mark.parametrize("restarted", [False, True])
 @pytest.mark.parametrize("deaf", [1.5, 5.0])
 def test_answers_that_come_back_one_after_the_other_save_all_flows(
-    world: World, deaf: float, restarted: bool
+    simulation: Simulation, deaf: float, restarted: bool
 ) -> None:
-    open_flows(world)
+    open_flows(simulation)
     if restarted:
-        restart_balancer(world, B1)
+        restart_balancer(simulation, B1)
     unheard = set(AGENTS)
-    world.is_lost = lambda source, host: (
+    simulation.is_lost = lambda source, host: (
         (source in unheard and host == B1) or (source == B1 and host in unheard)
     )
-    world.run(deaf)
+    simulation.run(deaf)
     for host in AGENTS:
         unheard.discard(host)
-        world.run(0.08)
-    world.run(3.0)
-    assert not world.resets
-    assert count_given_up(world) == 0
+        simulation.run(0.08)
+    simulation.run(3.0)
+    assert not simulation.reset_callers
+    assert count_given_up(simulation) == 0
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_a_link_that_loses_most_messages_costs_no_flow(world: World, seed: int) -> None:
-    open_flows(world)
-    world.is_lost = Losses(B1, 0.6, seed)
-    world.run(8.0)
-    world.is_lost = lambda source, host: False
-    world.run(2.0)
-    assert not world.resets
+def test_a_link_that_loses_most_messages_costs_no_flow(simulation: Simulation, seed: int) -> None:
+    open_flows(simulation)
+    simulation.is_lost = PacketLoss(B1, 0.6, seed)
+    simulation.run(8.0)
+    simulation.is_lost = lambda source, host: False
+    simulation.run(2.0)
+    assert not simulation.reset_callers
 
 
 def test_a_dead_agent_is_given_up_although_others_were_deaf_before(
-    world: World,
+    simulation: Simulation,
 ) -> None:
     """The price: one more time for giving up after the last sign of deafness."""
-    callers = open_flows(world)
-    dead = world.find_holder(callers[0])
-    world.upstreams[dead].alive = False
-    world.cut.add(dead)
-    world.run(LOST_AFTER_SECONDS / 2)
-    world.cut.add(B1)
-    world.run(3.0)
-    world.cut.discard(B1)
-    world.run(LOST_AFTER_SECONDS + 0.7)
+    callers = open_flows(simulation)
+    dead = simulation.find_upstream_host(callers[0])
+    simulation.upstreams[dead].alive = False
+    simulation.partitioned_hosts.add(dead)
+    simulation.run(LOST_AFTER_SECONDS / 2)
+    simulation.partitioned_hosts.add(B1)
+    simulation.run(3.0)
+    simulation.partitioned_hosts.discard(B1)
+    simulation.run(LOST_AFTER_SECONDS + 0.7)
     assert callers[0].outcome == "reset"
 
 
 @pytest.mark.parametrize("seed", range(40))
 def test_the_last_agent_heard_of_after_deafness_is_not_given_up(seed: int) -> None:
     """Found by random series: the others had just answered in time by luck."""
-    world = World(services=("dispatcher",))
+    simulation = Simulation(services=("dispatcher",))
     for host in AGENTS[:5]:
-        world.add_agent(host, "dispatcher", first=True)
+        simulation.add_agent(host, "dispatcher", knows_all_flows=True)
     for host in (B1, B2):
-        world.add_balancer(host)
-    world.run(3.0)
+        simulation.add_balancer(host)
+    simulation.run(3.0)
     for _ in range(10):
-        world.call("dispatcher", B1, requests=LONG)
-        world.run(0.05)
-    restart_balancer(world, B1)
-    world.is_lost = losses = Losses(B1, 1.0, seed)
-    for losses.share in (1.0, 0.6, 0.3):
-        world.run(1.5)
-    world.is_lost = lambda source, host: False
-    world.run(2.0)
-    assert not world.resets
+        simulation.add_caller("dispatcher", B1, requests=LONG)
+        simulation.run(0.05)
+    restart_balancer(simulation, B1)
+    simulation.is_lost = losses = PacketLoss(B1, 1.0, seed)
+    for losses.loss_share in (1.0, 0.6, 0.3):
+        simulation.run(1.5)
+    simulation.is_lost = lambda source, host: False
+    simulation.run(2.0)
+    assert not simulation.reset_callers
--- a/shedsill/tests/test_datagram_heartbeats.py
+++ b/shedsill/tests/test_datagram_heartbeats.py
@@ -24,7 +24,7 @@
 )
 from shedsill.platform.heartbeats import InstanceCalls
 from shedsill.testing.agents import make_agent_state
-from shedsill.testing.flow_peers import CODEC, make_packet
+from shedsill.testing.flow_endpoints import CODEC, make_packet
 from shedsill.testing.nodes import PORTS, make_settings
 from shedsill.testing.ports import find_ports
 
@@ -148,7 +148,7 @@
     agent: AgentState,
 ) -> None:
     """Nothing else would pass them on: no request of the new run ends."""
-    packet = CODEC.decode_caller(make_packet(CALLER, SERVICE, 0, content=b"x"))
+    packet = CODEC.decode_caller(make_packet(CALLER, SERVICE, 0, payload=b"x"))
     assert packet is not None
     dead = agent.flows[b"f"]
     dead.pending = dead.running = True
--- a/shedsill/tests/test_datagram_overload.py
+++ b/shedsill/tests/test_datagram_overload.py
@@ -13,7 +13,7 @@
 from shedsill.datagram._messages import Load
 from shedsill.datagram._packet import SYN, Packet
 from shedsill.testing.agents import make_agent_state
-from shedsill.testing.datagrams import World
+from shedsill.testing.datagram_simulation import Simulation
 
 SLOTS = 2
 SERVICE_TIME = 0.1
@@ -83,36 +83,36 @@
     assert _slots.can_answer_in_time(state, make_opening(), 1.0)
 
 
-def make_world(upstreams: int, overloaded: int) -> World:
-    world = World(services=("dispatcher",))
+def make_simulation(upstreams: int, overloaded: int) -> Simulation:
+    simulation = Simulation(services=("dispatcher",))
     hosts = [f"10.1.0.{number}" for number in range(1, upstreams + 1)]
     for host in hosts:
-        world.add_agent(host, "dispatcher", first=True)
-    world.add_balancer("10.0.0.1")
-    world.run(0.2)
+        simulation.add_agent(host, "dispatcher", knows_all_flows=True)
+    simulation.add_balancer("10.0.0.1")
+    simulation.run(0.2)
     routes = {
         endpoint: replace(route, timeout=TIMEOUT)
-        for endpoint, route in world.table.routes.items()
+        for endpoint, route in simulation.table.routes.items()
     }
-    table = replace(world.table, version=2, routes=routes)
-    world.change_table(table, ("10.0.0.1",))
+    table = replace(simulation.table, version=2, routes=routes)
+    simulation.publish_table(table, ("10.0.0.1",))
     for host in hosts[:overloaded]:
-        agent = world.nodes[host]
+        agent = simulation.nodes[host]
         assert isinstance(agent, AgentState)
-        overload(agent, 10 * SERVABLE, world.now)
-    return world
+        overload(agent, 10 * SERVABLE, simulation.now)
+    return simulation
 
 
 def test_a_caller_is_told_at_once_where_no_upstream_can_answer() -> None:
-    world = make_world(MAX_OVERLOADED_OFFERS + 2, MAX_OVERLOADED_OFFERS + 2)
-    caller = world.call("dispatcher", "10.0.0.1")
-    world.run(0.05)
+    simulation = make_simulation(MAX_OVERLOADED_OFFERS + 2, MAX_OVERLOADED_OFFERS + 2)
+    caller = simulation.add_caller("dispatcher", "10.0.0.1")
+    simulation.run(0.05)
     assert caller.outcome == "reset"
-    assert not any(upstream.runs for upstream in world.upstreams.values())
+    assert not any(upstream.processed_flows for upstream in simulation.upstreams.values())
 
 
 def test_an_upstream_that_can_answer_gets_what_an_overloaded_one_refuses() -> None:
-    world = make_world(2, 1)
-    callers = [world.call("dispatcher", "10.0.0.1") for _ in range(3)]
-    world.run(0.5)
+    simulation = make_simulation(2, 1)
+    callers = [simulation.add_caller("dispatcher", "10.0.0.1") for _ in range(3)]
+    simulation.run(0.5)
     assert [caller.outcome for caller in callers] == ["answered"] * 3
--- a/shedsill/tests/test_datagram_reading.py
+++ b/shedsill/tests/test_datagram_reading.py
@@ -23,7 +23,7 @@
 from shedsill.datagram._messages import NodeReport, Role, UpstreamState
 from shedsill.datagram._report_polling import ReportPolling, record_read
 from shedsill.datagram._search_state import LOCATE_TIMEOUT_SECONDS
-from shedsill.testing.datagrams import World
+from shedsill.testing.datagram_simulation import Simulation
 
 B1, B2 = "10.0.0.1", "10.0.0.2"
 A1, A2 = "10.1.0.1", "10.1.0.2"
@@ -31,72 +31,72 @@
 
 
 @pytest.fixture
-def world() -> World:
+def simulation() -> Simulation:
     """Two balancers, of which the second one's watch rests, and one upstream."""
-    world = World(services=("dispatcher",))
-    world.add_agent(A1, "dispatcher", first=True)
+    simulation = Simulation(services=("dispatcher",))
+    simulation.add_agent(A1, "dispatcher", knows_all_flows=True)
     for host in (B1, B2):
-        world.add_balancer(host)
-    world.run(1.0)
-    world.resting.add(B2)
-    return world
+        simulation.add_balancer(host)
+    simulation.run(1.0)
+    simulation.unwatched_hosts.add(B2)
+    return simulation
 
 
-def hide(world: World, agent: str, balancer: str) -> None:
+def hide(simulation: Simulation, agent: str, balancer: str) -> None:
     """Lose all that an agent and others tell a balancer, until it asks."""
 
     def is_lost(source: str, host: str) -> bool:
-        asked = agent in world.nodes[balancer].nodes.upstreams
+        asked = agent in simulation.nodes[balancer].nodes.upstreams
         return host == balancer and source in (agent, B1) and not asked
 
-    world.is_lost = is_lost
+    simulation.is_lost = is_lost
 
 
-def test_a_flow_of_an_agent_that_only_the_store_knows_is_found(world: World) -> None:
-    hide(world, A2, B2)
-    world.add_agent(A2, "dispatcher", first=True)
-    world.run(3.0)
-    assert A2 not in world.nodes[B2].nodes.upstreams
-    world.nodes[B1].nodes.upstreams[A1].refused_until = world.now + 1.0
-    caller = world.call("dispatcher", B1, requests=LONG)
-    world.run(0.1)
-    assert world.find_holder(caller) == A2
-    world.routers[caller.flow] = B2
-    world.run(2.0)
+def test_a_flow_of_an_agent_that_only_the_store_knows_is_found(simulation: Simulation) -> None:
+    hide(simulation, A2, B2)
+    simulation.add_agent(A2, "dispatcher", knows_all_flows=True)
+    simulation.run(3.0)
+    assert A2 not in simulation.nodes[B2].nodes.upstreams
+    simulation.nodes[B1].nodes.upstreams[A1].refused_until = simulation.now + 1.0
+    caller = simulation.add_caller("dispatcher", B1, requests=LONG)
+    simulation.run(0.1)
+    assert simulation.find_upstream_host(caller) == A2
+    simulation.balancer_by_flow[caller.flow] = B2
+    simulation.run(2.0)
     assert caller.answers > 2
     assert not caller.outcome
 
 
 @pytest.mark.parametrize("store_up", [True, False])
-def test_a_flow_that_nobody_holds_is_reset_soon(world: World, store_up: bool) -> None:
+def test_a_flow_that_nobody_holds_is_reset_soon(simulation: Simulation, store_up: bool) -> None:
     """Callers wait for a read, or `READ_TIMEOUT_SECONDS` where the store is away."""
-    caller = world.call("dispatcher", B1, requests=LONG)
-    world.run(3.0)
-    world.store_up = store_up
-    world.routers[caller.flow] = B2
-    world.upstreams[A1].flows.clear()
-    world.nodes[A1].flows.clear()
-    world.run(0.3)
+    caller = simulation.add_caller("dispatcher", B1, requests=LONG)
+    simulation.run(3.0)
+    simulation.store_available = store_up
+    simulation.balancer_by_flow[caller.flow] = B2
+    simulation.upstreams[A1].flows.clear()
+    simulation.nodes[A1].flows.clear()
+    simulation.run(0.3)
     assert (caller.outcome == "reset") == store_up
-    world.run(_report_polling.READ_TIMEOUT_SECONDS + LOCATE_TIMEOUT_SECONDS)
+    simulation.run(_report_polling.READ_TIMEOUT_SECONDS + LOCATE_TIMEOUT_SECONDS)
     assert caller.outcome == "reset"
 
 
 def test_a_service_that_only_the_store_knows_is_found_by_an_opening(
-    world: World,
+    simulation: Simulation,
 ) -> None:
     """Its upstreams were all replaced, and nobody could tell this balancer."""
-    hide(world, A2, B2)
-    world.add_agent(A2, "dispatcher", first=True)
-    world.leave(A1)
-    world.run(3.0)
-    caller = world.call("dispatcher", B2)
-    world.run(1.0)
+    hide(simulation, A2, B2)
+    simulation.add_agent(A2, "dispatcher", knows_all_flows=True)
+    simulation.withdraw_upstream(A1)
+    simulation.run(3.0)
+    caller = simulation.add_caller("dispatcher", B2)
+    simulation.run(1.0)
     assert caller.outcome == "answered"
 
 
-def test_the_collector_tells_the_others_what_the_store_told_it(world: World) -> None:
-    state = world.nodes[B2]
+def test_the_collector_tells_the_others_what_the_store_told_it(simulation: Simulation) -> None:
+    state = simulation.nodes[B2]
     report = NodeReport(
         host=A2,
         role=Role.AGENT,
@@ -106,20 +106,20 @@
         boot="i-9",
         state=UpstreamState.READY,
     )
-    world._dispatch(B1, ReportsListed(reports=(report,), now=world.now))
-    world.run(0.01)
+    simulation._dispatch(B1, ReportsListed(reports=(report,), now=simulation.now))
+    simulation.run(0.01)
     assert A2 in state.nodes.upstreams
 
 
-def test_a_report_that_was_removed_late_is_written_again(world: World) -> None:
+def test_a_report_that_was_removed_late_is_written_again(simulation: Simulation) -> None:
     """The last run's removal was under way when this run found its report."""
-    world.kill(B2)
-    world.add_balancer(B2)
-    world.run(0.1)
-    del world.stored[B2]
-    removed = ReportsListed(reports=(), removed=(B2,), now=world.now)
-    world._dispatch(B2, removed)
-    assert world.stored[B2].host == B2
+    simulation.kill(B2)
+    simulation.add_balancer(B2)
+    simulation.run(0.1)
+    del simulation.stored_reports[B2]
+    removed = ReportsListed(reports=(), removed=(B2,), now=simulation.now)
+    simulation._dispatch(B2, removed)
+    assert simulation.stored_reports[B2].host == B2
 
 
 def count_readings(*, seconds: int, first: bool) -> int:
--- a/shedsill/tests/test_guards.py
+++ b/shedsill/tests/test_guards.py
@@ -50,10 +50,10 @@
 
 
 def open_other_flow(scene: Scenario) -> Scenario:
-    """Return the same world with another flow to the same service."""
-    flow = scene.world.open_flow("dispatcher")
-    scene.world.settle(0.3)
-    return Scenario(scene.world, flow)
+    """Return the same simulation with another flow to the same service."""
+    flow = scene.simulation.open_flow("dispatcher")
+    scene.simulation.settle(0.3)
+    return Scenario(scene.simulation, flow)
 
 
 def repeat_runs_once(scene: Scenario) -> None:
@@ -65,57 +65,57 @@
 
 def unknown_never_runs_again(scene: Scenario) -> None:
     ticket = get_ticket(scene)
-    scene.world.send_request(scene.flow, "w", key=ticket)
-    scene.world.settle()
-    scene.world.finish(scene.world.list_running()[0], answered=False)
-    scene.world.settle(0.5)
+    scene.simulation.send_request(scene.flow, "w", key=ticket)
+    scene.simulation.settle()
+    scene.simulation.finish_run(scene.simulation.list_running()[0], answered=False)
+    scene.simulation.settle(0.5)
     again = run_request(open_other_flow(scene), "w", key=ticket)
     assert again.outcome == RequestOutcome.UNKNOWN
 
 
 def refused_ticket_stays_refused(scene: Scenario) -> None:
     ticket = get_ticket(scene)
-    slow = [scene.world.send_request(scene.flow, f"slow{i}") for i in range(20)]
-    scene.world.settle()
-    scene.world.send_request(scene.flow, "w", key=ticket)
-    scene.world.settle()
+    slow = [scene.simulation.send_request(scene.flow, f"slow{i}") for i in range(20)]
+    scene.simulation.settle()
+    scene.simulation.send_request(scene.flow, "w", key=ticket)
+    scene.simulation.settle()
     for _ in range(20):
-        for run in scene.world.list_running():
-            scene.world.finish(run)
-        scene.world.settle(0.1)
+        for run in scene.simulation.list_running():
+            scene.simulation.finish_run(run)
+        scene.simulation.settle(0.1)
     assert all(attempt.outcome for attempt in slow)
     run_request(scene, "w", key=ticket)
 
 
 def restart_never_overloads(scene: Scenario) -> None:
-    scene.world.cancel_delay = 1.5
+    scene.simulation.cancel_delay = 1.5
     for index in range(2):
-        scene.world.send_request(scene.flow, f"w{index}")
-    scene.world.settle()
+        scene.simulation.send_request(scene.flow, f"w{index}")
+    scene.simulation.settle()
     agent = scene.agent
-    scene.world.kill(agent)
-    scene.world.start_agent(agent)
-    scene.world.settle(0.2)
+    scene.simulation.kill(agent)
+    scene.simulation.start_agent(agent)
+    scene.simulation.settle(0.2)
     for index in range(12):
-        flow = scene.world.open_flow("dispatcher")
-        scene.world.settle(0.05)
+        flow = scene.simulation.open_flow("dispatcher")
+        scene.simulation.settle(0.05)
         if flow.cid:
-            scene.world.send_request(flow, f"v{index}")
-    scene.world.settle(0.3)
+            scene.simulation.send_request(flow, f"v{index}")
+    scene.simulation.settle(0.3)
 
 
 def expired_request_frees_its_slot_late(scene: Scenario) -> None:
     for index in range(4):
-        scene.world.send_request(scene.flow, f"w{index}")
-        scene.world.settle(1.0)
-    scene.world.settle(6.0)
+        scene.simulation.send_request(scene.flow, f"w{index}")
+        scene.simulation.settle(1.0)
+    scene.simulation.settle(6.0)
 
 
 def generation_never_goes_back(scene: Scenario) -> None:
-    old = scene.world.nodes["b1"].state.node.configuration
+    old = scene.simulation.nodes["b1"].state.node.configuration
     apply_change(scene, Action.ROTATE_KEYS)
-    scene.world.settle(4.0)
-    for process in scene.world.nodes.values():
+    scene.simulation.settle(4.0)
+    for process in scene.simulation.nodes.values():
         process.state = _offer(process.state, old)
         generation = process.state.node.configuration.generation
         assert generation > old.generation
@@ -128,98 +128,98 @@
 
 def one_generation_one_configuration(scene: Scenario) -> None:
     """Two balancers that both believe that they hold the lease accept at once."""
-    world = scene.world
+    simulation = scene.simulation
     for name in ("b1", "b2"):
-        process = world.nodes[name]
-        lease = evolve(process.state.acceptor.lease, held_until=world.now + 60.0)
+        process = simulation.nodes[name]
+        lease = evolve(process.state.acceptor.lease, held_until=simulation.now + 60.0)
         acceptor = Acceptor(lease=lease)
         process.state = evolve(process.state, acceptor=acceptor)
     apply_change(scene, Action.DRAIN, "d1")
-    world.advance(0.05)
-    while world.messages and "accept" not in {
-        getattr(getattr(m, "purpose", None), "value", "") for m in world.messages
+    simulation.advance(0.05)
+    while simulation.messages and "accept" not in {
+        getattr(getattr(m, "purpose", None), "value", "") for m in simulation.messages
     }:
-        world.deliver(0)
+        simulation.deliver_message(0)
     apply_change(scene, Action.ROTATE_KEYS)
-    world.settle(5.0)
-    world.check_end()
+    simulation.settle(5.0)
+    simulation.check_final_state()
 
 
 def leaver_hands_its_record_on(scene: Scenario) -> None:
     ticket = get_ticket(scene)
     first = run_request(scene, "w", key=ticket)
-    scene.world.close_flow(scene.flow)
-    scene.world.stop(scene.agent)
-    scene.world.settle(4.0)
+    scene.simulation.close_flow(scene.flow)
+    scene.simulation.stop(scene.agent)
+    scene.simulation.settle(4.0)
     again = run_request(open_other_flow(scene), "w", key=ticket)
     assert again.body == first.body
 
 
 def leaver_takes_no_new_work(scene: Scenario) -> None:
     apply_change(scene, Action.DRAIN, scene.agent)
-    scene.world.settle(3.0)
+    scene.simulation.settle(3.0)
     late = run_request(scene, "late")
     assert late.outcome == RequestOutcome.NOT_RUN
 
 
 def silent_stream_finds_another_balancer(scene: Scenario) -> None:
     """The caller only listens; its answers went through a balancer that died."""
-    world = scene.world
-    attempt = world.send_request(scene.flow, "w")
-    world.settle()
-    agent_flow = next(iter(world.nodes[scene.agent].flows.values()))
-    dead = next(p for p in world.nodes.values() if p.address == agent_flow.reply_to)
-    world.kill(dead.name)
-    world.settle(4.0)
-    world.finish(world.list_running()[0])
+    simulation = scene.simulation
+    attempt = simulation.send_request(scene.flow, "w")
+    simulation.settle()
+    agent_flow = next(iter(simulation.nodes[scene.agent].flows.values()))
+    dead = next(p for p in simulation.nodes.values() if p.address == agent_flow.reply_to)
+    simulation.kill(dead.name)
+    simulation.settle(4.0)
+    simulation.finish_run(simulation.list_running()[0])
     for _ in range(3):
-        world.retransmit()
-        world.settle(0.2)
+        simulation.retransmit()
+        simulation.settle(0.2)
     assert attempt.outcome == RequestOutcome.DONE
 
 
 def outage_does_not_stop_the_spread(scene: Scenario) -> None:
     apply_change(scene, Action.ROTATE_KEYS)
-    world = scene.world
-    while max(world.accepted) < 2:
-        world.advance(0.05)
-        while world.messages and max(world.accepted) < 2:
-            world.deliver(0)
-    world.platform_down = True
-    world.settle(5.0)
-    generations = {p.state.node.configuration.generation for p in world.nodes.values()}
+    simulation = scene.simulation
+    while max(simulation.accepted) < 2:
+        simulation.advance(0.05)
+        while simulation.messages and max(simulation.accepted) < 2:
+            simulation.deliver_message(0)
+    simulation.platform_down = True
+    simulation.settle(5.0)
+    generations = {p.state.node.configuration.generation for p in simulation.nodes.values()}
     assert generations == {2}
 
 
 def dead_candidate_is_passed_over(scene: Scenario) -> None:
-    world = scene.world
-    world.kill("d1")
-    flows = [world.open_flow("dispatcher") for _ in range(12)]
+    simulation = scene.simulation
+    simulation.kill("d1")
+    flows = [simulation.open_flow("dispatcher") for _ in range(12)]
     for _ in range(8):
-        world.settle(0.5)
-        world.retransmit()
-    world.settle(0.5)
+        simulation.settle(0.5)
+        simulation.retransmit()
+    simulation.settle(0.5)
     assert all(flow.cid for flow in flows)
 
 
 def empty_platform_drains_nothing(scene: Scenario) -> None:
-    world = scene.world
-    world.platform.objects.clear()
-    world.platform.revision += 1
-    world.settle(25.0, step=0.25)
-    configuration = world.nodes["b1"].state.node.configuration
+    simulation = scene.simulation
+    simulation.platform.objects.clear()
+    simulation.platform.revision += 1
+    simulation.settle(25.0, step=0.25)
+    configuration = simulation.nodes["b1"].state.node.configuration
     assert {u.state.value for u in configuration.upstreams} == {"active"}
 
 
 def new_incarnation_refuses_old_ids(scene: Scenario) -> None:
     """A restarted agent must not take packets of its predecessor's flows."""
     agent = scene.agent
-    scene.world.kill(agent)
-    scene.world.start_agent(agent)
-    scene.world.settle(3.0)
-    process = scene.world.nodes[agent]
-    scene.world.send_request(scene.flow, "old")
-    scene.world.settle(0.2)
+    scene.simulation.kill(agent)
+    scene.simulation.start_agent(agent)
+    scene.simulation.settle(3.0)
+    process = scene.simulation.nodes[agent]
+    scene.simulation.send_request(scene.flow, "old")
+    scene.simulation.settle(0.2)
     assert not process.exchanges
     assert process.state.flow_count == 0
 
--- a/shedsill/tests/test_platform_packets.py
+++ b/shedsill/tests/test_platform_packets.py
@@ -10,7 +10,7 @@
 from shedsill.datagram._forwarding_table import Route
 from shedsill.datagram._packet import ACK, BOUNCED, RST, SYN
 from shedsill.platform.packets import HEADER_BYTES, HeaderCodec
-from shedsill.testing.flow_peers import check_packet, make_packet
+from shedsill.testing.flow_endpoints import check_packet, make_packet
 
 CODEC = HeaderCodec()
 EXAMPLE = bytes.fromhex(
@@ -58,7 +58,7 @@
 def test_what_the_sum_covers_is_never_changed(
     content: bytes, number: int, bits: int
 ) -> None:
-    data = make_packet(CALLER, SERVICE, bits, seq=7, ack=9, content=content)
+    data = make_packet(CALLER, SERVICE, bits, seq=7, ack=9, payload=content)
     packet = CODEC.decode_caller(data)
     assert packet is not None
     forwarded = CODEC.encode_forwarded(packet, number, ROUTE)
--- a/shedsill/tests/test_platform_processes.py
+++ b/shedsill/tests/test_platform_processes.py
@@ -32,7 +32,7 @@
                 await deployment.start_balancer(host)
             for host in (*AGENTS, *BALANCERS):
                 await deployment.wait_ready(host)
-            await deployment.wait_known()
+            await deployment.wait_agents_known()
             await scenario(deployment)
             assert deployment.errors == []
 
@@ -43,10 +43,10 @@
     async def scenario(deployment: Deployment) -> None:
         services = ("dispatcher", "intake") * 6
         callers = [
-            deployment.call(service, BALANCERS[n % 2])
+            deployment.add_caller(service, BALANCERS[n % 2])
             for n, service in enumerate(services)
         ]
-        await deployment.settle(callers)
+        await deployment.wait_for_outcomes(callers)
         assert {caller.outcome for caller in callers} == {"answered"}
         await asyncio.sleep(0.2)
         lines = deployment.read_log(B1) + deployment.read_log(B2)
@@ -58,14 +58,14 @@
 
 def test_open_flows_outlive_a_kill_of_every_node(tmp_path: pathlib.Path) -> None:
     async def scenario(deployment: Deployment) -> None:
-        callers = [deployment.call("dispatcher", B1) for _ in range(4)]
-        while not all(caller.open for caller in callers):
+        callers = [deployment.add_caller("dispatcher", B1) for _ in range(4)]
+        while not all(caller.is_open for caller in callers):
             await asyncio.sleep(0.001)
         for host in (*AGENTS, *BALANCERS):
             await deployment.kill(host)
         for host in (*AGENTS, *BALANCERS):
             await deployment.restart(host)
-        await deployment.settle(callers, 15.0)
+        await deployment.wait_for_outcomes(callers, 15.0)
         assert {caller.outcome for caller in callers} == {"answered"}
 
     play(tmp_path, scenario)
@@ -73,8 +73,8 @@
 
 def test_a_planned_stop_ends_well_and_loses_nothing(tmp_path: pathlib.Path) -> None:
     async def scenario(deployment: Deployment) -> None:
-        callers = [deployment.call("dispatcher", B1) for _ in range(4)]
-        while not all(caller.open for caller in callers):
+        callers = [deployment.add_caller("dispatcher", B1) for _ in range(4)]
+        while not all(caller.is_open for caller in callers):
             await asyncio.sleep(0.001)
 
         async def restart_agent() -> int:
@@ -86,8 +86,8 @@
         codes = await asyncio.gather(deployment.stop(B1), restart_agent())
         assert codes == [0, 0]
         for caller in callers:
-            deployment.routers[caller.flow] = B2
-        await deployment.settle(callers)
+            deployment.balancer_by_flow[caller.flow] = B2
+        await deployment.wait_for_outcomes(callers)
         assert {caller.outcome for caller in callers} == {"answered"}
 
     play(tmp_path, scenario)
@@ -95,15 +95,15 @@
 
 def test_the_store_may_be_away(tmp_path: pathlib.Path) -> None:
     async def scenario(deployment: Deployment) -> None:
-        deployment.store.faults.down = "busy"
-        callers = [deployment.call("dispatcher", B1) for _ in range(4)]
-        await deployment.settle(callers)
+        deployment.store.faults.failure_mode = "busy"
+        callers = [deployment.add_caller("dispatcher", B1) for _ in range(4)]
+        await deployment.wait_for_outcomes(callers)
         await deployment.drain_upstream(A1, "dispatcher")
-        late = [deployment.call("dispatcher", B2) for _ in range(6)]
-        await deployment.settle(late)
+        late = [deployment.add_caller("dispatcher", B2) for _ in range(6)]
+        await deployment.wait_for_outcomes(late)
         outcomes = {caller.outcome for caller in (*callers, *late)}
         assert outcomes == {"answered"}
-        assert not any(c.flow in deployment.upstreams[A1].runs for c in late)
+        assert not any(c.flow in deployment.upstreams[A1].processed_flows for c in late)
 
     play(tmp_path, scenario)
 
@@ -113,7 +113,7 @@
 
     async def scenario(deployment: Deployment) -> None:
         deployment.change_settings(B1, seeds=["127.0.1.2:99"])
-        deployment.nodes[B1].signal(signal.SIGHUP)
+        deployment.nodes[B1].send_signal(signal.SIGHUP)
         deployment.change_settings(B2, seeds=["127.0.1.1:99"])
         deployment.change_settings(A1, app="nowhere")
         wanted = {
@@ -125,9 +125,9 @@
             for host, name in wanted.items():
                 while name not in {line["name"] for line in deployment.read_log(host)}:
                     await asyncio.sleep(0.05)
-        assert all(node.running for node in deployment.nodes.values())
-        callers = [deployment.call("dispatcher", B1) for _ in range(4)]
-        await deployment.settle(callers)
+        assert all(node.is_running for node in deployment.nodes.values())
+        callers = [deployment.add_caller("dispatcher", B1) for _ in range(4)]
+        await deployment.wait_for_outcomes(callers)
         assert {caller.outcome for caller in callers} == {"answered"}
 
     play(tmp_path, scenario)
--- a/shedsill/tests/test_platform_store.py
+++ b/shedsill/tests/test_platform_store.py
@@ -92,7 +92,7 @@
 
 def test_long_lists_come_whole() -> None:
     async def scenario(stand_in: ObjectStoreStandIn, store: ObjectStore) -> None:
-        stand_in.page = 3
+        stand_in.page_size = 3
         for number in range(8):
             stand_in.write(KIND, f"o{number}", {"n": number})
         listing = await store.call(List(kinds=(KIND,)))
@@ -121,7 +121,7 @@
 def test_a_watch_from_forgotten_history_says_so() -> None:
     async def scenario(stand_in: ObjectStoreStandIn, store: ObjectStore) -> None:
         await put(store, "a")
-        stand_in.forget_history()
+        stand_in.drop_history()
         watch = Watch(kinds=(KIND,), revision=0, patience=1.0)
         assert await store.call(watch) == HistoryGone()
 
@@ -136,7 +136,7 @@
         )
         assert isinstance(await anext(outcomes), Listing)
         await put(store, "b")
-        stand_in.forget_history()
+        stand_in.drop_history()
         listing = await anext(outcomes)
         assert isinstance(listing, Listing) and len(listing.objects) == 2
         await outcomes.aclose()
@@ -151,9 +151,9 @@
     monkeypatch.setattr(store_module, "CALL_TIMEOUT_SECONDS", 0.1)
 
     async def scenario(stand_in: ObjectStoreStandIn, store: ObjectStore) -> None:
-        stand_in.faults.down = down
+        stand_in.faults.failure_mode = down
         assert isinstance(await store.call(Get(kind=KIND, name="a")), Unavailable)
-        stand_in.faults.down = ""
+        stand_in.faults.failure_mode = ""
         assert await store.call(Get(kind=KIND, name="a")) == Found(object=None)
 
     play(scenario)
@@ -237,10 +237,10 @@
         stand_in.write(REPORT_KIND, REPORT.host, {"old": True})
         read = []
         writer = make_writer(store, lambda *call: read.append(call))
-        stand_in.faults.down = "busy"
+        stand_in.faults.failure_mode = "busy"
         await writer.read_earlier_report(REPORT.host)
         assert read == []
-        stand_in.faults.down = ""
+        stand_in.faults.failure_mode = ""
         writer.store(REPORT)
         await settle(writer)
         assert read == [({"old": True}, False)]
@@ -254,11 +254,11 @@
         stand_in.faults.lose_answers = 1
         writer.store(REPORT)
         await settle(writer)
-        stand_in.faults.down = "busy"
+        stand_in.faults.failure_mode = "busy"
         writer.remove(REPORT)
         await asyncio.sleep(0.2)
         assert (REPORT_KIND, REPORT.host) in stand_in.objects
-        stand_in.faults.down = ""
+        stand_in.faults.failure_mode = ""
         await settle(writer)
         assert (REPORT_KIND, REPORT.host) not in stand_in.objects
 
@@ -317,10 +317,10 @@
             store, KIND, sleep=asyncio.sleep, get_timeout=lambda: 0.05
         )
         assert isinstance(await anext(outcomes), Listing)
-        stand_in.faults.down = "silent"
+        stand_in.faults.failure_mode = "silent"
         waiting = asyncio.ensure_future(anext(outcomes))
         await asyncio.sleep(0.02)
-        stand_in.faults.down = ""
+        stand_in.faults.failure_mode = ""
         await put(store, "b")
         assert isinstance(await waiting, Unavailable)
         changed = await anext(outcomes)
