--- a/properties/test_datagram_messages.py
+++ b/properties/test_datagram_messages.py
@@ -38,7 +38,7 @@
 from shedsill.datagram._packet import ACK, SYN, Packet
 from shedsill.datagram._reducer import reduce
 from shedsill.testing.datagram_simulation import Simulation
-from shedsill.testing.flow_endpoints import FLAG_BITS, CODEC, SERVICE_HOST, make_packet
+from shedsill.testing.flow_endpoints import CODEC, FLAG_BITS, SERVICE_HOST, make_packet
 
 HOSTS = ("10.1.0.1", "10.1.0.2", "10.1.0.3", "10.9.9.9")
 CALLERS = tuple((0x64400000 + number, 40_000) for number in range(4))
@@ -149,7 +149,9 @@
         simulation.add_agent(host, "dispatcher", knows_all_flows=True)
     state = simulation.add_balancer("10.0.0.1")
     simulation.run(0.1)
-    callers = [simulation.add_caller("dispatcher", "10.0.0.1", requests=STEPS) for _ in CALLERS]
+    callers = [
+        simulation.add_caller("dispatcher", "10.0.0.1", requests=STEPS) for _ in CALLERS
+    ]
     simulation.run(0.05)
     assert {caller.flow for caller in callers} == state.flows.keys() == set(FLOWS)
     now = simulation.now
--- a/properties/test_datagram_world.py
+++ b/properties/test_datagram_world.py
@@ -45,7 +45,9 @@
         super().__init__()
         self.simulation = Simulation(services=SERVICES)
         for number, (host, service) in enumerate(AGENTS.items()):
-            self.simulation.add_agent(host, service, zone=f"z{number % 2}", knows_all_flows=True)
+            self.simulation.add_agent(
+                host, service, zone=f"z{number % 2}", knows_all_flows=True
+            )
         for number, host in enumerate(BALANCERS):
             self.simulation.add_balancer(host, zone=f"z{number % 2}")
         self.simulation.run(0.2)
@@ -168,7 +170,8 @@
     def tables_never_go_back(self) -> None:
         newest = self.simulation.table.version
         assert all(
-            0 < self.simulation.nodes[host].table.version <= newest for host in BALANCERS
+            0 < self.simulation.nodes[host].table.version <= newest
+            for host in BALANCERS
         )
 
     def teardown(self) -> None:
@@ -177,7 +180,9 @@
         for host in AGENTS:
             self.change_state(host, UpstreamState.READY)
         self.simulation.run(5.0)
-        callers = [self.simulation.add_caller(s, b) for s in SERVICES for b in BALANCERS]
+        callers = [
+            self.simulation.add_caller(s, b) for s in SERVICES for b in BALANCERS
+        ]
         self.simulation.run(3.0)
         assert {caller.outcome for caller in callers} == {"answered"}
         self.simulation.run(REST)
--- a/properties/test_world.py
+++ b/properties/test_world.py
@@ -21,8 +21,8 @@
 
 from shedsill.http3._answers import RequestOutcome
 from shedsill.http3._resources import Action, Change, Upstream, UpstreamSet
-from shedsill.testing.parts import CallerFlow
 from shedsill.testing.http3_simulation import Simulation
+from shedsill.testing.parts import CallerFlow
 
 EXAMPLES = int(os.environ.get("SHEDSILL_FUZZ_EXAMPLES", "40"))
 STEPS = int(os.environ.get("SHEDSILL_FUZZ_STEPS", "60"))
--- a/shedsill/_cli/quickstart.py
+++ b/shedsill/_cli/quickstart.py
@@ -41,7 +41,9 @@
     from shedsill.testing.documents import make_layout
     from shedsill.testing.embedded import EmbeddedSystem
 
-    system = EmbeddedSystem((make_layout(SERVICE, count=3, slots=3),), log_level=log_level)
+    system = EmbeddedSystem(
+        (make_layout(SERVICE, count=3, slots=3),), log_level=log_level
+    )
     await system.start()
     try:
         await _apply(system)
--- a/shedsill/testing/datagram_simulation.py
+++ b/shedsill/testing/datagram_simulation.py
@@ -194,7 +194,12 @@
         return state
 
     def add_agent(
-        self, host: str, service: str, *, zone: str = "z1", knows_all_flows: bool = False
+        self,
+        host: str,
+        service: str,
+        *,
+        zone: str = "z1",
+        knows_all_flows: bool = False,
     ) -> AgentState:
         """Start an agent, and its upstream if there is none on that VM."""
         state = AgentState(
@@ -342,7 +347,10 @@
             return
         self.send_heartbeat(host)
         state = self.nodes[host]
-        self._schedule(HEARTBEAT_SECONDS, lambda: self.nodes.get(host) is state and self._repeat_heartbeat(host))
+        self._schedule(
+            HEARTBEAT_SECONDS,
+            lambda: self.nodes.get(host) is state and self._repeat_heartbeat(host),
+        )
 
     def send_heartbeat(self, host: str) -> None:
         upstream = self.upstreams[host]
@@ -350,7 +358,10 @@
             return
         upstream.heartbeat_serial += 1
         beat = Heartbeat(
-            boot=upstream.boot, serial=upstream.heartbeat_serial, state=upstream.state, slots=3
+            boot=upstream.boot,
+            serial=upstream.heartbeat_serial,
+            state=upstream.state,
+            slots=3,
         )
         self._dispatch(host, HeartbeatReceived(heartbeat=beat, now=self.now))
 
@@ -370,7 +381,9 @@
 
     def _deliver_event(self, source: str, host: str, make: Callable[[], Event]) -> None:
         """Deliver an event over the network, where nothing is cut."""
-        if host in self.partitioned_hosts or (source in self.partitioned_hosts and source != host):
+        if host in self.partitioned_hosts or (
+            source in self.partitioned_hosts and source != host
+        ):
             return
         if self.is_lost(source, host):
             return
@@ -401,11 +414,15 @@
         match effect:
             case ForwardPacket(host=agent, packet=packet, service=service):
                 data = CODEC.encode_forwarded(packet, service, effect.route)
-                self._deliver_event(host, agent, lambda: self._decode_forwarded(data, host))
+                self._deliver_event(
+                    host, agent, lambda: self._decode_forwarded(data, host)
+                )
             case SendMessage(host=other, message=message):
                 octets = encode_message(message)
                 self.message_counts[type(message)] += 1
-                self._deliver_event(host, other, lambda: self._decode_message(octets, host))
+                self._deliver_event(
+                    host, other, lambda: self._decode_message(octets, host)
+                )
             case SendToUpstream(packet=packet, balancer=balancer):
                 data = CODEC.encode_for_upstream(packet, balancer)
                 upstream = self.upstreams[host]
@@ -445,7 +462,9 @@
             case WriteLog():
                 self.log_entries.append((host, effect))
 
-    def _report_earlier_incarnation(self, host: str, report: NodeReport, *, at_start: bool) -> None:
+    def _report_earlier_incarnation(
+        self, host: str, report: NodeReport, *, at_start: bool
+    ) -> None:
         """Tell a node what an earlier run of it has left in the store."""
         earlier = self.stored_reports.get(host)
         if earlier is not None and earlier.incarnation != report.incarnation:
--- a/shedsill/testing/deployment.py
+++ b/shedsill/testing/deployment.py
@@ -298,7 +298,9 @@
         agents = {h for h, node in self.nodes.items() if node.role == "agent"}
         async with asyncio.timeout(START_TIMEOUT_SECONDS):
             for host, node in self.nodes.items():
-                while node.role == "balancer" and agents - self._list_known_upstreams(host):
+                while node.role == "balancer" and agents - self._list_known_upstreams(
+                    host
+                ):
                     await asyncio.sleep(POLL_SECONDS)
 
     def _list_known_upstreams(self, balancer: str) -> set[str]:
@@ -462,7 +464,9 @@
             seen |= flows
         return doubled
 
-    async def wait_for_outcomes(self, callers: list[Caller], limit: float = 10.0) -> None:
+    async def wait_for_outcomes(
+        self, callers: list[Caller], limit: float = 10.0
+    ) -> None:
         """Wait until each of some callers has an outcome."""
         async with asyncio.timeout(limit):
             while not all(caller.outcome for caller in callers):
--- a/shedsill/testing/fabric.py
+++ b/shedsill/testing/fabric.py
@@ -97,7 +97,8 @@
             back = self._callers[addr] = _CallerSocket(self._fabric, self, addr)
             asyncio.get_running_loop().create_task(back.open())
         self._fabric.forward_datagram(
-            lambda part: back.send(self._fabric.choose_balancer(self._balancers), part), data
+            lambda part: back.send(self._fabric.choose_balancer(self._balancers), part),
+            data,
         )
 
 
--- a/shedsill/testing/flow_endpoints.py
+++ b/shedsill/testing/flow_endpoints.py
@@ -60,7 +60,9 @@
         seq,
         ack,
     )
-    return head + struct.pack(">I", compute_checksum(head + bytes(4) + payload)) + payload
+    return (
+        head + struct.pack(">I", compute_checksum(head + bytes(4) + payload)) + payload
+    )
 
 
 def compute_checksum(data: bytes) -> int:
@@ -130,7 +132,9 @@
         if packet.flow not in self.flows:
             self.send(bytes([data[0] | FLAG_BITS[BOUNCED]]) + data[1:])
         elif packet.length:
-            self.schedule(REQUEST_SECONDS, lambda: self._send_answer(packet.flow, packet.ack))
+            self.schedule(
+                REQUEST_SECONDS, lambda: self._send_answer(packet.flow, packet.ack)
+            )
 
     def _handle_syn(self, flow: bytes) -> None:
         _caller, service = decode_endpoints(flow)
--- a/shedsill/testing/http3_simulation.py
+++ b/shedsill/testing/http3_simulation.py
@@ -143,7 +143,13 @@
         self.services[name] = number
         address = f"10.0.0.{number}:443"
         self.apply(
-            Service(name=name, address=address, slots=slots, queue=6, classes=REQUEST_CLASSES)
+            Service(
+                name=name,
+                address=address,
+                slots=slots,
+                queue=6,
+                classes=REQUEST_CLASSES,
+            )
         )
         members = tuple(
             Upstream(name=upstream, address=str(self._make_address(upstream)))
@@ -369,7 +375,9 @@
             case PlatformMessage(node=node):
                 return node in self.partitioned_nodes
             case PullMessage() | PeerCall() | HandoverCall():
-                return message.node in self.partitioned_nodes or message.peer in addresses
+                return (
+                    message.node in self.partitioned_nodes or message.peer in addresses
+                )
             case _:
                 return False
 
@@ -504,7 +512,9 @@
 
     # Upstreams.
 
-    def finish_run(self, run: Run, *, answered: bool = True, shed: bool = False) -> None:
+    def finish_run(
+        self, run: Run, *, answered: bool = True, shed: bool = False
+    ) -> None:
         """End a piece of work, with a whole answer or without one."""
         run.running = False
         run.shed = shed
@@ -807,14 +817,20 @@
         writes = isinstance(message.call, (Put, Delete))
         if writes:
             listed = tuple(self.platform.objects.values())
-            self._stale_listing = Listing(objects=listed, revision=self.platform.revision)
+            self._stale_listing = Listing(
+                objects=listed, revision=self.platform.revision
+            )
         outcome = self.platform.apply(message.call)
         if isinstance(message.call, Watch) and isinstance(outcome, Changed):
             expired = self.now - message.asked > message.call.patience
             if not outcome.names and not expired:
                 self.pending_watches.append(message)
                 return
-        if isinstance(outcome, Listing) and self.stale_list_count and self._stale_listing:
+        if (
+            isinstance(outcome, Listing)
+            and self.stale_list_count
+            and self._stale_listing
+        ):
             self.stale_list_count -= 1
             outcome = self._stale_listing
         if writes and self.lost_answer_count:
--- a/shedsill/tests/test_datagram_checkpoints.py
+++ b/shedsill/tests/test_datagram_checkpoints.py
@@ -51,7 +51,8 @@
 
 def open_flows(simulation: Simulation, count: int = 30) -> list[Caller]:
     callers = [
-        simulation.add_caller("dispatcher", BALANCERS[n % 3], requests=LONG) for n in range(count)
+        simulation.add_caller("dispatcher", BALANCERS[n % 3], requests=LONG)
+        for n in range(count)
     ]
     simulation.run(4.5)
     assert all(caller.is_open and not caller.outcome for caller in callers)
@@ -71,7 +72,9 @@
         simulation.crash_upstream(host)
 
 
-def return_power(simulation: Simulation, *, upstreams: tuple[str, ...] = AGENTS) -> None:
+def return_power(
+    simulation: Simulation, *, upstreams: tuple[str, ...] = AGENTS
+) -> None:
     for host in upstreams:
         simulation.start_upstream(host, "dispatcher")
     for host in AGENTS:
@@ -90,7 +93,9 @@
     assert [caller.outcome for caller in callers] == ["reset"] * len(callers)
 
 
-def test_they_are_freed_where_upstreams_are_slow_to_say_so(simulation: Simulation) -> None:
+def test_they_are_freed_where_upstreams_are_slow_to_say_so(
+    simulation: Simulation,
+) -> None:
     """The agents answer first, and do not know the new runs yet."""
     callers = open_flows(simulation)
     silence(simulation, callers)
@@ -215,7 +220,9 @@
             simulation.add_balancer(host)
         simulation.run(3.0)
         for number in range(24):
-            simulation.add_caller("dispatcher", hosts[number % balancers], requests=LONG)
+            simulation.add_caller(
+                "dispatcher", hosts[number % balancers], requests=LONG
+            )
         seen = set()
         for _ in range(200):
             simulation.run(0.1)
@@ -289,7 +296,9 @@
 
 
 def test_an_answer_of_anyone_is_taken(simulation: Simulation) -> None:
-    event = MessageReceived(message=CheckpointTaken(), source="10.9.9.9", now=simulation.now)
+    event = MessageReceived(
+        message=CheckpointTaken(), source="10.9.9.9", now=simulation.now
+    )
     simulation._dispatch(BALANCERS[0], event)
     simulation.run(3.0)
     assert not simulation.reset_callers
--- a/shedsill/tests/test_datagram_deafness.py
+++ b/shedsill/tests/test_datagram_deafness.py
@@ -57,7 +57,9 @@
 
 
 def count_given_up(simulation: Simulation) -> int:
-    return sum(note.event == LogEvent.UPSTREAM_LOST for _host, note in simulation.log_entries)
+    return sum(
+        note.event == LogEvent.UPSTREAM_LOST for _host, note in simulation.log_entries
+    )
 
 
 @pytest.mark.parametrize("restarted", [False, True])
@@ -82,7 +84,9 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_a_link_that_loses_most_messages_costs_no_flow(simulation: Simulation, seed: int) -> None:
+def test_a_link_that_loses_most_messages_costs_no_flow(
+    simulation: Simulation, seed: int
+) -> None:
     open_flows(simulation)
     simulation.is_lost = PacketLoss(B1, 0.6, seed)
     simulation.run(8.0)
--- a/shedsill/tests/test_datagram_flows.py
+++ b/shedsill/tests/test_datagram_flows.py
@@ -113,7 +113,9 @@
     assert caller.outcome == "reset"
 
 
-def test_an_idle_caller_is_freed_when_the_upstream_restarts(simulation: Simulation) -> None:
+def test_an_idle_caller_is_freed_when_the_upstream_restarts(
+    simulation: Simulation,
+) -> None:
     caller = open_flow(simulation)
     host = simulation.find_upstream_host(caller)
     simulation.crash_upstream(host)
@@ -145,7 +147,9 @@
     assert caller.outcome == "reset"
 
 
-def test_a_stopping_agent_keeps_its_flows_through_a_silence(simulation: Simulation) -> None:
+def test_a_stopping_agent_keeps_its_flows_through_a_silence(
+    simulation: Simulation,
+) -> None:
     caller = open_flow(simulation)
     simulation.stop(simulation.find_upstream_host(caller))
     simulation.run(0.01)
@@ -157,7 +161,9 @@
     assert caller.outcome == "answered"
 
 
-def test_a_stopped_agent_that_never_comes_back_is_given_up(simulation: Simulation) -> None:
+def test_a_stopped_agent_that_never_comes_back_is_given_up(
+    simulation: Simulation,
+) -> None:
     """Found on an incident: its VM was taken away, and each search waited for it."""
     simulation.stop(OTHER)
     simulation.run(0.2)
@@ -188,18 +194,23 @@
     simulation.run(0.2)
     assert A2 not in simulation.stored_reports
     assert not any(
-        host in (B1, B2) and note.fields.get("stopping") for host, note in simulation.log_entries
+        host in (B1, B2) and note.fields.get("stopping")
+        for host, note in simulation.log_entries
     )
 
 
-def test_an_opening_goes_on_when_its_first_upstream_is_silent(simulation: Simulation) -> None:
+def test_an_opening_goes_on_when_its_first_upstream_is_silent(
+    simulation: Simulation,
+) -> None:
     simulation.upstreams[A1].alive = False
     callers = [simulation.add_caller("dispatcher", B1) for _ in range(6)]
     simulation.run(0.3)
     assert [c.outcome for c in callers] == ["answered"] * 6
 
 
-def test_a_refused_opening_goes_to_another_upstream_at_once(simulation: Simulation) -> None:
+def test_a_refused_opening_goes_to_another_upstream_at_once(
+    simulation: Simulation,
+) -> None:
     simulation.upstreams[A1].refuses_flows = True
     callers = [simulation.add_caller("dispatcher", B1) for _ in range(6)]
     simulation.run(0.3)
@@ -225,7 +236,9 @@
     assert not simulation.upstreams[A1].processed_flows
 
 
-def test_an_agent_refuses_for_a_draining_upstream_by_itself(simulation: Simulation) -> None:
+def test_an_agent_refuses_for_a_draining_upstream_by_itself(
+    simulation: Simulation,
+) -> None:
     """Even a balancer that has not heard of it sends nothing to the upstream."""
     simulation.partitioned_hosts.add(B1)
     simulation.drain_upstream(A1)
@@ -245,7 +258,9 @@
     assert caller.outcome == "answered"
 
 
-def test_an_address_taken_over_by_another_service_gets_nothing(simulation: Simulation) -> None:
+def test_an_address_taken_over_by_another_service_gets_nothing(
+    simulation: Simulation,
+) -> None:
     """The oracle raises if an opening reaches the wrong service."""
     simulation.kill(A1)
     simulation.crash_upstream(A1)
@@ -307,7 +322,9 @@
     assert A3 in simulation.nodes[B1].nodes.upstreams
 
 
-def test_a_flow_found_nowhere_is_reset_once_all_have_answered(simulation: Simulation) -> None:
+def test_a_flow_found_nowhere_is_reset_once_all_have_answered(
+    simulation: Simulation,
+) -> None:
     caller = open_flow(simulation)
     upstream = simulation.upstreams[simulation.find_upstream_host(caller)]
     upstream.flows.clear()
@@ -348,7 +365,9 @@
     assert simulation.nodes[B1].ready
 
 
-def test_an_agent_that_the_store_turns_away_is_asked_too(simulation: Simulation) -> None:
+def test_an_agent_that_the_store_turns_away_is_asked_too(
+    simulation: Simulation,
+) -> None:
     """A new balancer learns of it from the others, so its flows are not reset."""
     simulation.store_available = False
     state = simulation.add_agent(A3, "dispatcher", knows_all_flows=True)
@@ -433,7 +452,9 @@
     simulation.add_balancer(B1)
     simulation.run(0.6)
     assert {caller.outcome for caller in callers} == {"answered"}
-    found = [n.fields for _h, n in simulation.log_entries if n.event == LogEvent.FLOW_FOUND]
+    found = [
+        n.fields for _h, n in simulation.log_entries if n.event == LogEvent.FLOW_FOUND
+    ]
     assert sum(fields["tried"] for fields in found) <= 6 * len(callers)
 
 
@@ -480,7 +501,9 @@
     assert count(zones, LogEvent.FLOW_FOUND) == 1
 
 
-def test_a_living_agent_is_not_replaced_by_an_old_report(simulation: Simulation) -> None:
+def test_a_living_agent_is_not_replaced_by_an_old_report(
+    simulation: Simulation,
+) -> None:
     """Found on played days: after a restart of all, balancers read the reports of
     before from the store, kept to them, and told each other of agents for ever."""
     balancer = simulation.nodes[B1]
@@ -499,14 +522,18 @@
     simulation.kill(A1)
     state = simulation.add_agent(A1, "dispatcher")
     fresh = replace(state.report, serial=1)
-    simulation._dispatch(B1, ReportsListed(reports=(fresh,), complete=True, now=simulation.now))
+    simulation._dispatch(
+        B1, ReportsListed(reports=(fresh,), complete=True, now=simulation.now)
+    )
     simulation.run(0.2)
     view = simulation.nodes[B1].nodes.upstreams[A1]
     assert view.report.incarnation == state.report.incarnation
     assert view.confirmed_incarnation == state.report.incarnation
 
 
-def test_a_restart_of_the_upstream_in_an_outage_is_not_proof(simulation: Simulation) -> None:
+def test_a_restart_of_the_upstream_in_an_outage_is_not_proof(
+    simulation: Simulation,
+) -> None:
     """Found by random series: the store knew only the run before the outage, so a
     restarted agent denied the flows that its upstream had taken since."""
     simulation.store_available = False
@@ -527,7 +554,9 @@
     assert caller.outcome == "answered"
 
 
-def test_a_flow_opened_before_the_first_heartbeat_is_kept(simulation: Simulation) -> None:
+def test_a_flow_opened_before_the_first_heartbeat_is_kept(
+    simulation: Simulation,
+) -> None:
     """Found on an incident: the balancer had the last run's boot from the store, and
     reset the flow when the first heartbeat told the new one; a claim was lost."""
     for host in (A1, A2, B1, B2):
--- a/shedsill/tests/test_datagram_overload.py
+++ b/shedsill/tests/test_datagram_overload.py
@@ -108,7 +108,9 @@
     caller = simulation.add_caller("dispatcher", "10.0.0.1")
     simulation.run(0.05)
     assert caller.outcome == "reset"
-    assert not any(upstream.processed_flows for upstream in simulation.upstreams.values())
+    assert not any(
+        upstream.processed_flows for upstream in simulation.upstreams.values()
+    )
 
 
 def test_an_upstream_that_can_answer_gets_what_an_overloaded_one_refuses() -> None:
--- a/shedsill/tests/test_datagram_reading.py
+++ b/shedsill/tests/test_datagram_reading.py
@@ -52,7 +52,9 @@
     simulation.is_lost = is_lost
 
 
-def test_a_flow_of_an_agent_that_only_the_store_knows_is_found(simulation: Simulation) -> None:
+def test_a_flow_of_an_agent_that_only_the_store_knows_is_found(
+    simulation: Simulation,
+) -> None:
     hide(simulation, A2, B2)
     simulation.add_agent(A2, "dispatcher", knows_all_flows=True)
     simulation.run(3.0)
@@ -68,7 +70,9 @@
 
 
 @pytest.mark.parametrize("store_up", [True, False])
-def test_a_flow_that_nobody_holds_is_reset_soon(simulation: Simulation, store_up: bool) -> None:
+def test_a_flow_that_nobody_holds_is_reset_soon(
+    simulation: Simulation, store_up: bool
+) -> None:
     """Callers wait for a read, or `READ_TIMEOUT_SECONDS` where the store is away."""
     caller = simulation.add_caller("dispatcher", B1, requests=LONG)
     simulation.run(3.0)
@@ -95,7 +99,9 @@
     assert caller.outcome == "answered"
 
 
-def test_the_collector_tells_the_others_what_the_store_told_it(simulation: Simulation) -> None:
+def test_the_collector_tells_the_others_what_the_store_told_it(
+    simulation: Simulation,
+) -> None:
     state = simulation.nodes[B2]
     report = NodeReport(
         host=A2,
@@ -111,7 +117,9 @@
     assert A2 in state.nodes.upstreams
 
 
-def test_a_report_that_was_removed_late_is_written_again(simulation: Simulation) -> None:
+def test_a_report_that_was_removed_late_is_written_again(
+    simulation: Simulation,
+) -> None:
     """The last run's removal was under way when this run found its report."""
     simulation.kill(B2)
     simulation.add_balancer(B2)
--- a/shedsill/tests/test_datagram_restarts.py
+++ b/shedsill/tests/test_datagram_restarts.py
@@ -96,7 +96,9 @@
     assert caller.outcome == "reset"
 
 
-def test_a_caller_at_work_as_the_run_ended_is_freed_at_once(simulation: Simulation) -> None:
+def test_a_caller_at_work_as_the_run_ended_is_freed_at_once(
+    simulation: Simulation,
+) -> None:
     """Its flow was taken after the last heartbeat of the run that ended."""
     caller = open_flow(simulation)
     restart_upstream(simulation)
@@ -113,12 +115,16 @@
     simulation.upstreams[A1].crash()
     flows = [caller.flow, caller.flow]
     answer = Located(boot="i-9", held=[], unknown=flows, unsure=[], load=Load())
-    simulation._dispatch(B1, MessageReceived(message=answer, source=A1, now=simulation.now))
+    simulation._dispatch(
+        B1, MessageReceived(message=answer, source=A1, now=simulation.now)
+    )
     simulation.run(0.01)
     assert caller.outcome == "reset"
 
 
-def test_a_doubted_flow_is_asked_for_until_its_agent_answers(simulation: Simulation) -> None:
+def test_a_doubted_flow_is_asked_for_until_its_agent_answers(
+    simulation: Simulation,
+) -> None:
     """The first question was lost, and the caller has nothing left to send."""
     caller = open_flow(simulation)
     simulation.balancer_by_flow[caller.flow] = "nowhere"
--- a/shedsill/tests/test_datagram_searches.py
+++ b/shedsill/tests/test_datagram_searches.py
@@ -60,7 +60,9 @@
     return caller
 
 
-def test_an_agent_that_is_gone_does_not_hold_up_a_search(simulation: Simulation) -> None:
+def test_an_agent_that_is_gone_does_not_hold_up_a_search(
+    simulation: Simulation,
+) -> None:
     simulation.partitioned_hosts.add(FAR[0])
     simulation.run(10.0)
     caller = end_flow(simulation)
@@ -124,7 +126,9 @@
     assert view.report.state == UpstreamState.GONE
 
 
-def test_a_living_flow_is_found_though_an_agent_has_just_left(seeded: Simulation) -> None:
+def test_a_living_flow_is_found_though_an_agent_has_just_left(
+    seeded: Simulation,
+) -> None:
     """All agents were restarted, so that only upstreams know who holds the flow."""
     caller = seeded.add_caller("dispatcher", B1, requests=LONG)
     seeded.run(1.0)
--- a/shedsill/tests/test_datagram_unheard.py
+++ b/shedsill/tests/test_datagram_unheard.py
@@ -35,7 +35,9 @@
     return simulation
 
 
-def open_flow(simulation: Simulation, balancer: str = B1, service: str = "dispatcher") -> Caller:
+def open_flow(
+    simulation: Simulation, balancer: str = B1, service: str = "dispatcher"
+) -> Caller:
     caller = simulation.add_caller(service, balancer, requests=LONG)
     simulation.run(0.05)
     assert caller.is_open
@@ -70,7 +72,9 @@
     return caller, holder, other
 
 
-def test_an_agent_that_was_given_up_is_asked_once_it_speaks(simulation: Simulation) -> None:
+def test_an_agent_that_was_given_up_is_asked_once_it_speaks(
+    simulation: Simulation,
+) -> None:
     """A search that began without it must not end in a reset."""
     _caller, _holder, other = search_without_holder(simulation)
     simulation.run(0.4)
@@ -81,7 +85,9 @@
     assert not simulation.reset_callers
 
 
-def test_a_deleted_report_of_a_silent_agent_ends_no_flow(simulation: Simulation) -> None:
+def test_a_deleted_report_of_a_silent_agent_ends_no_flow(
+    simulation: Simulation,
+) -> None:
     """Another balancer, which did not hear the agent, may have deleted it."""
     caller = open_flow(simulation)
     holder = simulation.find_upstream_host(caller)
@@ -95,7 +101,9 @@
     assert not simulation.reset_callers
 
 
-def test_an_introduction_that_was_lost_is_asked_for_again(simulation: Simulation) -> None:
+def test_an_introduction_that_was_lost_is_asked_for_again(
+    simulation: Simulation,
+) -> None:
     """The store does not have an agent that only the other balancers know."""
     caller = open_flow(simulation)
     holder = simulation.find_upstream_host(caller)
@@ -109,7 +117,9 @@
     assert not simulation.reset_callers
 
 
-def test_a_route_that_only_a_newer_table_has_is_waited_for(simulation: Simulation) -> None:
+def test_a_route_that_only_a_newer_table_has_is_waited_for(
+    simulation: Simulation,
+) -> None:
     """Routers move a flow of a new route to a balancer that has yet to read it."""
     simulation.publish_table(simulation.make_table(2, excluded="intake"), (B1, B2))
     simulation.run(0.1)
@@ -143,11 +153,15 @@
     lose_between(simulation, (A1, B3))
     simulation.add_balancer(B3)
     simulation.run(2.0)
-    notes = [n for host, n in simulation.log_entries if n.event == LogEvent.UPSTREAM_LOST]
+    notes = [
+        n for host, n in simulation.log_entries if n.event == LogEvent.UPSTREAM_LOST
+    ]
     assert [note.fields["heard"] for note in notes] == [None]
 
 
-def test_an_agent_that_returns_by_the_store_is_asked_too(simulation: Simulation) -> None:
+def test_an_agent_that_returns_by_the_store_is_asked_too(
+    simulation: Simulation,
+) -> None:
     """Found by random series: it was restarted after it had been given up."""
     caller, holder, other = search_without_holder(simulation)
     caller.send_request()
@@ -194,7 +208,9 @@
     assert host in simulation.nodes[B2].nodes.upstreams
 
 
-def test_an_agent_that_is_known_does_not_repeat_its_news(simulation: Simulation) -> None:
+def test_an_agent_that_is_known_does_not_repeat_its_news(
+    simulation: Simulation,
+) -> None:
     state = simulation.add_agent("10.1.0.4", "dispatcher", knows_all_flows=True)
     state.seeds = (B1, B2)
     simulation.run(1.0)
--- a/shedsill/tests/test_faults.py
+++ b/shedsill/tests/test_faults.py
@@ -15,8 +15,8 @@
 from shedsill.http3._answers import RequestOutcome
 from shedsill.http3._configuration import UpstreamState
 from shedsill.http3._resources import Action, Change, Upstream, UpstreamSet
-from shedsill.testing.parts import Attempt, CallerFlow, PlatformMessage
 from shedsill.testing.http3_simulation import Simulation
+from shedsill.testing.parts import Attempt, CallerFlow, PlatformMessage
 
 BALANCERS = ("b1", "b2", "b3")
 
@@ -410,7 +410,9 @@
     simulation.retransmit()
     simulation.settle(2.0)
     assert attempt.outcome is None
-    owners = {flow.caller_flow.service for flow in simulation.nodes["i9"].flows.values()}
+    owners = {
+        flow.caller_flow.service for flow in simulation.nodes["i9"].flows.values()
+    }
     assert owners <= {"intake"}
     flow = simulation.open_flow("intake")
     while flow.agent != "i9":
--- a/shedsill/tests/test_guards.py
+++ b/shedsill/tests/test_guards.py
@@ -168,7 +168,9 @@
     attempt = simulation.send_request(scene.flow, "w")
     simulation.settle()
     agent_flow = next(iter(simulation.nodes[scene.agent].flows.values()))
-    dead = next(p for p in simulation.nodes.values() if p.address == agent_flow.reply_to)
+    dead = next(
+        p for p in simulation.nodes.values() if p.address == agent_flow.reply_to
+    )
     simulation.kill(dead.name)
     simulation.settle(4.0)
     simulation.finish_run(simulation.list_running()[0])
@@ -187,7 +189,9 @@
             simulation.deliver_message(0)
     simulation.platform_down = True
     simulation.settle(5.0)
-    generations = {p.state.node.configuration.generation for p in simulation.nodes.values()}
+    generations = {
+        p.state.node.configuration.generation for p in simulation.nodes.values()
+    }
     assert generations == {2}
 
 
