--- a/shedsill/testing/datagram_simulation.py
+++ b/shedsill/testing/datagram_simulation.py
@@ -1,9 +1,8 @@
-"""A simulation of opaque flows in memory: callers, balancers, agents and upstreams.
+"""Deterministic simulation of opaque flows: callers, balancers, agents, upstreams.
 
-The nodes are the real reducers and the packets are real ones.  Time moves only
-by `Simulation.run`.  Callers and upstreams behave as the platform's do and check,
-while the simulation runs, what they are promised: packets arrive unchanged, flows
-reach the service that they are meant for, and no living flow is reset.
+The nodes run their real reducers and exchange real packets.  Time advances only in
+`Simulation.run`.  Callers and upstreams raise `OracleError` if a packet was altered,
+if a flow reaches the wrong service, or if a flow is reset while its upstream holds it.
 """
 
 from __future__ import annotations
@@ -78,20 +77,20 @@
 TICK_SECONDS = 0.04
 HEARTBEAT_SECONDS = 1.2
 WRITE_RETRY_SECONDS = 1.0
-"""Longest pause between tries of a write, as in `_runtime.reports`."""
+"""Longest delay between two attempts of a store write."""
 
 
 @define(eq=False)
 class PacketLoss:
-    """A share of the datagrams to and from one node that are lost.
+    """Random loss of datagrams to and from one node.
 
-    Each pair of nodes has draws of its own, so that what is lost does not hang on the
-    order in which messages to several nodes leave.
+    Each pair of nodes has its own generator, so that the losses do not depend on the
+    order in which messages to several nodes are sent.
 
     Attributes
     ----------
     loss_share : float
-        May be changed while the simulation runs.
+        Share of datagrams lost; may be changed while the simulation runs.
     """
 
     host: str
@@ -100,7 +99,7 @@
     _generators: dict[tuple[str, str], random.Random] = field(factory=dict)
 
     def __call__(self, source: str, host: str) -> bool:
-        """Whether the next datagram from a node to another one is lost."""
+        """Return whether the next datagram from one host to another is lost."""
         if self.host not in (source, host) or source == "caller":
             return False
         pair = (source, host)
@@ -111,17 +110,17 @@
 
 @define(eq=False)
 class Simulation:
-    """Everything, and the queue of what is under way.
+    """Nodes, upstreams, callers, the store and the queue of scheduled events.
 
     Attributes
     ----------
     partitioned_hosts : set of str
-        Hosts that nothing reaches and that reach nothing.
+        Hosts that can neither send nor receive messages.
     unwatched_hosts : set of str
-        Balancers whose watch of the store rests, so that they hear of its changes only
-        when they ask.
+        Balancers that are not notified of changes in the store and learn of them only
+        by reading it.
     is_lost : callable
-        Whether the next datagram from a source to a host is lost.
+        Returns whether the next datagram from a source to a host is lost.
     """
 
     services: tuple[str, ...]
@@ -150,17 +149,17 @@
 
     @property
     def reset_callers(self) -> list[Caller]:
-        """The callers whose flow was reset."""
+        """Callers whose flow was reset."""
         return [c for c in self.callers.values() if c.outcome == "reset"]
 
     def count_messages(self, kind: type) -> int:
-        """Return how many messages of a class nodes have sent."""
+        """Return the number of messages of a class that nodes have sent."""
         return self.message_counts[kind]
 
-    # Building
+    # Setup
 
     def make_table(self, version: int, excluded: str = "") -> ForwardingTable:
-        """Return a table with one route for each service."""
+        """Return a table with one route per service, except an excluded one."""
         routes = {
             self._get_endpoint(service): Route(
                 name=service, shares=(ServiceShare(service=service),)
@@ -177,7 +176,7 @@
         return struct.pack(">IH", SERVICE_HOST, self._get_port(service))
 
     def add_balancer(self, host: str, *, zone: str = "z1") -> BalancerState:
-        """Start a balancer; it reads what the store holds."""
+        """Start a balancer and have it read the store."""
         state = BalancerState(
             report=self._make_report(host, Role.BALANCER, zone),
             seeds=self.seeds,
@@ -201,7 +200,7 @@
         zone: str = "z1",
         knows_all_flows: bool = False,
     ) -> AgentState:
-        """Start an agent, and its upstream if there is none on that VM."""
+        """Start an agent, and its upstream unless the VM has one."""
         state = AgentState(
             report=self._make_report(host, Role.AGENT, zone, service),
             seeds=self.seeds,
@@ -220,7 +219,7 @@
         return state
 
     def start_upstream(self, host: str, service: str) -> Upstream:
-        """Start a new run of an upstream."""
+        """Start an upstream with a new boot ID."""
         boot = f"i-{next(self._sequence)}"
         upstream = Upstream(
             host=host,
@@ -240,33 +239,33 @@
             host=host, role=role, zone=zone, service=service, incarnation=incarnation
         )
 
-    # Faults and planned steps
+    # Faults and planned operations
 
     def kill(self, host: str) -> None:
-        """End a node at once; what it knew is gone."""
+        """Kill a node; its state is lost."""
         self.nodes.pop(host, None)
 
     def crash_upstream(self, host: str) -> None:
-        """End an upstream's run; its port refuses connections."""
+        """Crash an upstream; its port refuses connections."""
         self.upstreams[host].crash()
 
     def stop(self, host: str) -> None:
-        """Ask a node to stop."""
+        """Request a graceful stop of a node."""
         self._dispatch(host, StopRequested(now=self.now))
 
     def drain_upstream(self, host: str) -> None:
-        """Have an upstream say that it drains."""
+        """Have an upstream report that it is draining."""
         self.upstreams[host].state = UpstreamState.DRAINING
         self.send_heartbeat(host)
 
     def withdraw_upstream(self, host: str) -> None:
-        """Have an upstream say that it ends, and end."""
+        """Have an upstream announce that it is leaving, and end it."""
         boot = self.upstreams[host].boot
         self._dispatch(host, UpstreamLeaving(boot=boot, now=self.now))
         self.crash_upstream(host)
 
     def read_reports(self, host: str) -> None:
-        """Have a balancer read the store."""
+        """Have a balancer read all reports from the store."""
         if self.store_available and host in self.nodes:
             reports = tuple(self.stored_reports.values())
             self._dispatch(
@@ -274,12 +273,12 @@
             )
 
     def _read_changes(self, host: str) -> None:
-        """Have a balancer read what the store holds, as changes."""
+        """Have a balancer read all reports as an incremental update."""
         reports = tuple(self.stored_reports.values())
         self._dispatch(host, ReportsListed(reports=reports, now=self.now))
 
     def restore_store(self) -> None:
-        """Have the store back for as long as writes take to be tried again."""
+        """Make the store available and wait until failed writes were retried."""
         self.store_available = True
         self.run(WRITE_RETRY_SECONDS)
         for host, state in list(self.nodes.items()):
@@ -290,7 +289,7 @@
                 self._notify_watchers(state.report, removed=False)
 
     def publish_table(self, table: ForwardingTable, hosts: tuple[str, ...]) -> None:
-        """Have some balancers read a new table from the store."""
+        """Store a new table and deliver it to some balancers."""
         self.table = table
         for host in hosts:
             event = TableReceived(table=table, source="store", now=self.now)
@@ -299,7 +298,7 @@
     # Callers
 
     def add_caller(self, service: str, balancer: str, *, requests: int = 1) -> Caller:
-        """Have a new caller open a flow and send requests on it."""
+        """Add a caller that opens a flow and sends requests on it."""
         caller = Caller(
             address=(0x64400000 + len(self.callers), 40_000),
             service=(SERVICE_HOST, self._get_port(service)),
@@ -314,7 +313,7 @@
         return caller
 
     def find_upstream_host(self, caller: Caller) -> str:
-        """Return the host whose living upstream holds a caller's flow."""
+        """Return the host of the live upstream that holds a flow, or ''."""
         for host, upstream in self.upstreams.items():
             if upstream.alive and caller.flow in upstream.flows:
                 return host
@@ -353,22 +352,23 @@
         )
 
     def send_heartbeat(self, host: str) -> None:
+        """Send a heartbeat of an upstream to its agent, if the upstream is alive."""
         upstream = self.upstreams[host]
         if not upstream.alive:
             return
         upstream.heartbeat_serial += 1
-        beat = Heartbeat(
+        heartbeat = Heartbeat(
             boot=upstream.boot,
             serial=upstream.heartbeat_serial,
             state=upstream.state,
             slots=3,
         )
-        self._dispatch(host, HeartbeatReceived(heartbeat=beat, now=self.now))
+        self._dispatch(host, HeartbeatReceived(heartbeat=heartbeat, now=self.now))
 
     # Time and effects
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance time, running all events scheduled until then."""
         end = self.now + seconds
         while self._queue and self._queue[0][0] <= end:
             self.now, _number, action = heapq.heappop(self._queue)
@@ -380,7 +380,7 @@
         heapq.heappush(self._queue, entry)
 
     def _deliver_event(self, source: str, host: str, make: Callable[[], Event]) -> None:
-        """Deliver an event over the network, where nothing is cut."""
+        """Deliver an event over the network, unless it is partitioned or lost."""
         if host in self.partitioned_hosts or (
             source in self.partitioned_hosts and source != host
         ):
@@ -418,10 +418,10 @@
                     host, agent, lambda: self._decode_forwarded(data, host)
                 )
             case SendMessage(host=other, message=message):
-                octets = encode_message(message)
+                data = encode_message(message)
                 self.message_counts[type(message)] += 1
                 self._deliver_event(
-                    host, other, lambda: self._decode_message(octets, host)
+                    host, other, lambda: self._decode_message(data, host)
                 )
             case SendToUpstream(packet=packet, balancer=balancer):
                 data = CODEC.encode_for_upstream(packet, balancer)
@@ -465,7 +465,7 @@
     def _report_earlier_incarnation(
         self, host: str, report: NodeReport, *, at_start: bool
     ) -> None:
-        """Tell a node what an earlier run of it has left in the store."""
+        """Send a node the report its previous incarnation left in the store."""
         earlier = self.stored_reports.get(host)
         if earlier is not None and earlier.incarnation != report.incarnation:
             read = EarlierReportRead(report=earlier, at_start=at_start, now=self.now)
@@ -476,7 +476,7 @@
             self._schedule(LATENCY_SECONDS, lambda: self._deliver_to_caller(data))
 
     def _notify_watchers(self, report: NodeReport, *, removed: bool) -> None:
-        """Tell the balancers of a change in the store."""
+        """Notify the watching balancers of a change in the store."""
         for host, state in self.nodes.items():
             if isinstance(state, BalancerState) and host not in self.unwatched_hosts:
                 reports = () if removed else (report,)
@@ -497,6 +497,6 @@
             packet=packet, service=service, balancer=balancer, now=self.now
         )
 
-    def _decode_message(self, octets: bytes, source: str) -> MessageReceived:
-        message = decode_message(octets)
+    def _decode_message(self, data: bytes, source: str) -> MessageReceived:
+        message = decode_message(data)
         return MessageReceived(message=message, source=source, now=self.now)
--- a/shedsill/testing/deployment.py
+++ b/shedsill/testing/deployment.py
@@ -1,8 +1,8 @@
-"""The real nodes as processes on loopback, with stand-ins around them.
+"""Nodes as processes on loopback, with simulated callers, upstreams and store.
 
-Each node has an IP number of its own in 127.0.0.0/8, so that ports are the same
-everywhere, as on the platform.  Callers, upstreams, routers and the store run in
-the test's loop.  Only processes that were started here are ever signalled.
+Each node has its own IP address in 127.0.0.0/8, so that all nodes use the same ports,
+as on the platform.  Callers, upstreams, routers and the store run in the test's event
+loop.  Only processes started here are signalled.
 """
 
 from __future__ import annotations
@@ -46,12 +46,12 @@
 
 @define(eq=False)
 class NodeProcess:
-    """One node as a process.
+    """A node and its process.
 
     Attributes
     ----------
-    frozen : bool
-        Whether it was stopped with SIGSTOP.
+    is_suspended : bool
+        Whether the process was stopped with SIGSTOP.
     """
 
     host: str
@@ -62,40 +62,40 @@
 
     @property
     def is_running(self) -> bool:
-        """Whether the process has not ended."""
+        """Whether the process was started and has not exited."""
         return self.process is not None and self.process.returncode is None
 
     def send_signal(self, number: signal.Signals) -> None:
-        """Send a signal, unless the process has ended."""
+        """Send a signal, unless the process has exited."""
         if self.is_running:
             assert self.process is not None
             self.process.send_signal(number)
 
 
 class _DatagramReceiver(asyncio.DatagramProtocol):
-    def __init__(self, take: Callable[[bytes], None]) -> None:
-        self._take = take
+    def __init__(self, receive: Callable[[bytes], None]) -> None:
+        self._receive = receive
 
     def datagram_received(self, data: bytes, addr: tuple) -> None:
-        self._take(data)
+        self._receive(data)
 
 
 @define(eq=False)
 class Deployment:
-    """Balancers, agents and everything around them.
+    """Balancers, agents, upstreams, callers and the store.
 
     Attributes
     ----------
     errors : list of Exception
-        Broken promises that a caller or an upstream has seen.
+        Violations detected by callers and upstreams.
     disturbed_until : dict of str to float
-        Until when each VM counts as disturbed.
+        Time until which a reset of a flow through each VM is tolerated.
     links : Links or None
-        Proxies between the nodes and in front of the store, where asked for.
+        Proxies between the nodes and in front of the store; None for direct traffic.
     ended_upstreams : list of Upstream
-        Runs of upstreams that have ended.
+        Upstreams that were replaced by a later boot.
     program : tuple of str
-        Module that is run as a node, and arguments before the role.
+        Module run as a node, and arguments that precede the role.
     """
 
     folder: pathlib.Path
@@ -146,10 +146,10 @@
         await self._http.close()
         await self._runner.cleanup()
 
-    # The platform's side
+    # Platform
 
     def write_table(self, *, excluded: str = "") -> None:
-        """Have the operator write a new configuration."""
+        """Write a configuration with one route per service, except an excluded one."""
         self.table_version += 1
         routes = [
             {
@@ -186,7 +186,7 @@
         return transport
 
     def _collect_error(self, action: Callable, *arguments: object) -> None:
-        """Keep a broken promise for the end of the run."""
+        """Call a function and collect its assertion errors for the end of the test."""
         try:
             action(*arguments)
         except AssertionError as error:
@@ -198,17 +198,17 @@
     # Nodes
 
     async def start_balancer(self, host: str) -> NodeProcess:
-        """Start a balancer and wait until it is ready."""
+        """Start a balancer."""
         return await self._start(NodeProcess(host=host, role="balancer"))
 
     async def start_agent(self, host: str, service: str) -> NodeProcess:
-        """Start an agent, and its upstream if there is none on that VM."""
+        """Start an agent, and its upstream unless the VM has one."""
         if host not in self.upstreams:
             await self.start_upstream(host, service)
         return await self._start(NodeProcess(host=host, role="agent", service=service))
 
     async def restart(self, host: str) -> NodeProcess:
-        """Start a node again that has ended."""
+        """Start a new process of a known node."""
         known = self.nodes[host]
         fresh = NodeProcess(host=host, role=known.role, service=known.service)
         return await self._start(fresh)
@@ -233,11 +233,11 @@
         return node
 
     def replace_service(self, host: str, service: str) -> None:
-        """Have a VM's next agent and upstream be of another service."""
+        """Set the service of the next agent and upstream on a VM."""
         self.nodes[host].service = service
 
     async def _open_links(self, links: Links, host: str) -> None:
-        """Put proxies between a node, the others and the store."""
+        """Open the proxies between a node, the other nodes and the store."""
         if host in links.ports:
             return
         ports = await links.add_node(host)
@@ -252,7 +252,7 @@
         return NodePorts(self.ports["packets"], self.ports["messages"])
 
     def change_settings(self, host: str, **changes: object) -> None:
-        """Write a node's settings file anew; it gets no signal."""
+        """Rewrite a node's settings file without signalling the node."""
         settings = {**self._make_settings(self.nodes[host]), **changes}
         (self.folder / f"{host}.json").write_text(json.dumps(settings))
 
@@ -282,7 +282,7 @@
         }
 
     async def wait_ready(self, host: str) -> None:
-        """Wait until a node answers that it is ready."""
+        """Wait until a node reports that it is ready."""
         assert self._http is not None
         url = f"http://{host}:{self.ports['ready']}/-/ready"
         async with asyncio.timeout(START_TIMEOUT_SECONDS):
@@ -294,7 +294,7 @@
                 await asyncio.sleep(POLL_SECONDS)
 
     async def wait_agents_known(self) -> None:
-        """Wait until each balancer has heard of every agent's upstream."""
+        """Wait until each balancer has logged every agent's upstream as ready."""
         agents = {h for h, node in self.nodes.items() if node.role == "agent"}
         async with asyncio.timeout(START_TIMEOUT_SECONDS):
             for host, node in self.nodes.items():
@@ -311,7 +311,7 @@
         }
 
     async def kill(self, host: str) -> None:
-        """End a node's process at once."""
+        """Kill a node's process and wait for it to exit."""
         node = self.nodes[host]
         if node.is_running:
             assert node.process is not None
@@ -319,7 +319,7 @@
             await node.process.wait()
 
     async def stop(self, host: str) -> int:
-        """Ask a node to stop; return its exit code."""
+        """Stop a node with SIGTERM; return its exit code."""
         node = self.nodes[host]
         assert node.process is not None
         node.send_signal(signal.SIGTERM)
@@ -329,7 +329,7 @@
     # Upstreams
 
     async def start_upstream(self, host: str, service: str) -> Upstream:
-        """Start a new run of the upstream on a VM."""
+        """Start the upstream of a VM with a new boot ID."""
         self._boot_count += 1
         known = self.upstreams.get(host)
         if known is None:
@@ -378,7 +378,7 @@
             await asyncio.sleep(HEARTBEAT_SECONDS)
 
     async def send_heartbeat(self, host: str, service: str) -> int:
-        """Send one heartbeat; return the status it was answered with."""
+        """Send a heartbeat; return the HTTP status, or 0 if the upstream is down."""
         assert self._http is not None
         upstream = self.upstreams[host]
         if not upstream.alive:
@@ -397,14 +397,14 @@
             return response.status
 
     async def drain_upstream(self, host: str, service: str) -> int:
-        """Have an upstream say that it drains; return the answer's status."""
+        """Have an upstream report that it is draining; return the HTTP status."""
         self.upstreams[host].state = UpstreamState.DRAINING
         return await self.send_heartbeat(host, service)
 
     # Callers
 
     def add_caller(self, service: str, balancer: str, *, requests: int = 1) -> Caller:
-        """Have a new caller open a flow through a balancer and send requests."""
+        """Add a caller that opens a flow through a balancer and sends requests."""
         address = (
             struct.unpack(">I", socket.inet_aton(CALLER_HOST))[0],
             10_000 + len(self.callers),
@@ -423,12 +423,12 @@
         return caller
 
     def record_fault(self, host: str, seconds: float) -> None:
-        """Note an unplanned fault on a VM; it counts for `FAULT_RECOVERY_SECONDS` more."""
+        """Tolerate resets through a VM during a fault and its recovery."""
         until = asyncio.get_running_loop().time() + seconds + FAULT_RECOVERY_SECONDS
         self.disturbed_until[host] = max(self.disturbed_until.get(host, 0.0), until)
 
     def _is_flow_held(self, flow: bytes) -> bool:
-        """Whether an undisturbed upstream holds a flow, on undisturbed VMs."""
+        """Return whether a flow is held, and neither of its VMs is disturbed."""
         now = asyncio.get_running_loop().time()
         return any(
             upstream.alive
@@ -455,25 +455,25 @@
         self.callers[packet.flow].receive(data)
 
     def find_repeated_flows(self) -> set[bytes]:
-        """Return the flows with a request that more than one run has worked on."""
+        """Return the flows with requests that ran on more than one upstream boot."""
         seen: set[bytes] = set()
-        doubled: set[bytes] = set()
+        repeated: set[bytes] = set()
         for upstream in (*self.ended_upstreams, *self.upstreams.values()):
             flows = set(upstream.processed_flows)
-            doubled |= flows & seen
+            repeated |= flows & seen
             seen |= flows
-        return doubled
+        return repeated
 
     async def wait_for_outcomes(
         self, callers: list[Caller], limit: float = 10.0
     ) -> None:
-        """Wait until each of some callers has an outcome."""
+        """Wait until each caller has an outcome."""
         async with asyncio.timeout(limit):
             while not all(caller.outcome for caller in callers):
                 await asyncio.sleep(POLL_SECONDS)
 
     def read_log(self, host: str) -> list[dict]:
-        """Return the log lines that a node has written."""
+        """Return the log records that a node has written."""
         text = (self.folder / f"{host}.log").read_text()
-        whole = text[: text.rfind("\n") + 1].splitlines()
-        return [json.loads(line) for line in whole if line.startswith("{")]
+        lines = text[: text.rfind("\n") + 1].splitlines()
+        return [json.loads(line) for line in lines if line.startswith("{")]
--- a/shedsill/testing/flow_endpoints.py
+++ b/shedsill/testing/flow_endpoints.py
@@ -1,9 +1,9 @@
-"""Callers and upstreams of opaque flows, as the users' platform describes them.
+"""Callers and upstreams of opaque flows, following the platform's specification.
 
-Both speak real packets through a `send` function and keep time by a `schedule`
-function, so that they serve in memory and over sockets.  They check what they
-are promised: packets arrive unchanged, an opening reaches the service that it is
-meant for, and no flow is reset while its upstream holds it.
+Both exchange real packets through a `send` function and set timers through a
+`schedule` function, so that they work in memory and over sockets.  They raise
+`OracleError` if a packet was altered, if a SYN reaches the wrong service, or if a flow
+is reset while its upstream holds it.
 """
 
 from __future__ import annotations
@@ -32,10 +32,10 @@
 FIRST_PORT = 443
 
 Endpoint = tuple[int, int]
-"""IP number as an integer, and port."""
+"""IPv4 address as an integer, and port."""
 
 Schedule = Callable[[float, Callable[[], object]], object]
-"""Calls something after some seconds."""
+"""Calls a function after a delay in seconds."""
 
 
 def make_packet(
@@ -47,7 +47,7 @@
     ack: int = 0,
     payload: bytes = b"",
 ) -> bytes:
-    """Return a packet between two endpoints, with a true sum."""
+    """Return a packet between two endpoints, with a valid checksum."""
     head = struct.pack(
         ">B5xHHIHIIII",
         flag_bits,
@@ -66,15 +66,15 @@
 
 
 def compute_checksum(data: bytes) -> int:
-    """Return the sum over all that a node may not change."""
+    """Return the checksum over the parts of a packet that nodes must not change."""
     flags = bytes([data[0] & ~FLAG_BITS[BOUNCED]])
     return zlib.crc32(flags + data[6:20] + data[24:32] + data[36:])
 
 
 def check_packet(data: bytes) -> None:
-    """Raise `OracleError` if a packet is not as its sender wrote it."""
+    """Raise `OracleError` if a packet does not match its checksum."""
     if compute_checksum(data) != struct.unpack_from(">I", data, 32)[0]:
-        raise OracleError("a packet was changed on its way")
+        raise OracleError("packet was changed in transit: checksum mismatch")
 
 
 def decode_endpoints(flow: bytes) -> tuple[Endpoint, Endpoint]:
@@ -85,16 +85,16 @@
 
 @define(eq=False)
 class Upstream:
-    """A back end: takes openings, answers each request after `REQUEST_SECONDS`.
+    """A backend that accepts flows and answers requests after `REQUEST_SECONDS`.
 
     Attributes
     ----------
     port : int
-        Service port of the flows that may come here.
+        Service port of the flows it accepts.
     flows, offered_flows : dict of bytes to int
-        Flows held and offered, with this end's first sequence number.
+        Flows held and flows offered, with the upstream's initial sequence number.
     processed_flows : list of bytes
-        Flows of the requests that were run, in order.
+        Flow of each request answered, in order.
     """
 
     host: str
@@ -111,12 +111,12 @@
     processed_flows: list[bytes] = field(factory=list)
 
     def crash(self) -> None:
-        """End this run; its flows are gone."""
+        """Stop answering and drop all flows."""
         self.alive = False
         self.flows.clear()
 
     def receive(self, data: bytes) -> None:
-        """Take a packet from the agent."""
+        """Receive a packet from the agent."""
         check_packet(data)
         packet = CODEC.decode_caller(data)
         assert packet is not None
@@ -139,7 +139,10 @@
     def _handle_syn(self, flow: bytes) -> None:
         _caller, service = decode_endpoints(flow)
         if service[1] != self.port:
-            raise OracleError(f"a flow to port {service[1]} reached {self.port}")
+            raise OracleError(
+                f"flow to service port {service[1]} reached an upstream of port "
+                f"{self.port}"
+            )
         seq = zlib.crc32(self.boot.encode() + flow)
         self.offered_flows[flow] = seq
         self._send_packet(flow, FLAG_BITS[SYN] | FLAG_BITS[ACK], seq=seq)
@@ -156,18 +159,18 @@
 
 @define(eq=False)
 class Caller:
-    """A caller with one flow and some requests on it, one after the other.
+    """A caller that sends requests on one flow, one after the other.
 
     Attributes
     ----------
     requests : int
-        How many it sends.
+        Number of requests to send.
     answers : int
-        How many were answered.
+        Number of requests answered.
     outcome : str
         Empty, ``answered``, ``reset`` or ``timeout``.
     is_flow_held : callable
-        Whether a living upstream holds a flow; asked when it is reset.
+        Returns whether a live upstream holds a flow; called when the flow is reset.
     """
 
     address: Endpoint
@@ -189,7 +192,7 @@
         return packet.flow
 
     def open_flow(self) -> None:
-        """Open the flow."""
+        """Send the SYN and its copies."""
         self._send_syn(0)
         for copy, after in enumerate(SYN_COPY_DELAYS_SECONDS, 1):
             self.schedule(after, lambda c=copy: self._send_syn(c))
@@ -207,7 +210,7 @@
             self.outcome = "timeout"
 
     def send_request(self) -> None:
-        """Send (again) the next request of an open flow, until it is answered."""
+        """Send the next request of an open flow and retransmit it until answered."""
         if self.outcome:
             return
         seq = 1 + self.answers * len(REQUEST)
@@ -226,7 +229,7 @@
         return (self.upstream_seq + 1 + self.answers * len(ANSWER)) % SEQUENCE_SPACE
 
     def receive(self, data: bytes) -> None:
-        """Take a packet from the system."""
+        """Receive a packet from a node."""
         packet = CODEC.decode_upstream(data)
         assert packet is not None
         if self.outcome:
@@ -256,6 +259,6 @@
         if self.is_open and self.is_flow_held(self.flow):
             port = self.address[1]
             raise OracleError(
-                f"flow of port {port} was reset while an upstream holds it"
+                f"flow from caller port {port} was reset while an upstream holds it"
             )
         self.outcome = "reset"
--- a/shedsill/testing/http3_simulation.py
+++ b/shedsill/testing/http3_simulation.py
@@ -1,10 +1,11 @@
-"""The real reducers over a queue of effects in memory, with an oracle.
+"""Deterministic simulation of HTTP/3 balancers and agents.
 
+The nodes run their real reducers; effects are messages in an in-memory queue.
 There are no sockets and no clock: a test or the fuzzer chooses which message is
-delivered, lost or doubled next, and how far time goes.  QUIC is stood in for by
-its promises: each request reaches the agent at most once per flow, and what was
-lost is sent again on demand.  The oracle checks the upstreams' journals and the
-callers' answers after every step.
+delivered, dropped or duplicated next, and by how much time advances.  QUIC is
+modeled by its guarantees: each request reaches the agent at most once per flow,
+and lost data is retransmitted on demand.  The invariants in
+`shedsill.testing.oracle` are checked after every step.
 """
 
 from __future__ import annotations
@@ -95,18 +96,19 @@
 
 @define(eq=False)
 class Simulation:
-    """Everything, and the queue of messages between its parts.
+    """Nodes, upstreams, callers, the platform and the messages in flight.
 
     Attributes
     ----------
     messages : list of Message
-        On their way; any may be delivered next.
+        Messages in flight; any of them may be delivered next.
     platform_down, lost_answer_count, stale_list_count : bool, int, int
-        Faults of the platform.
+        Whether the platform is unavailable, the number of writes whose answer is
+        lost, and the number of lists answered from before the last write.
     cancel_delay : float
         Seconds until an upstream notices that a connection was closed.
     partitioned_nodes : set of str
-        Nodes that run, but that no message reaches or leaves.
+        Nodes that run but can neither send nor receive messages.
     """
 
     seed: int = 1
@@ -135,10 +137,10 @@
     def __attrs_post_init__(self) -> None:
         self.generator = random.Random(self.seed)
 
-    # Building.
+    # Setup
 
     def add_service(self, name: str, upstreams: Iterable[str], *, slots: int) -> None:
-        """Add a service with its upstreams and agents, and write its resources."""
+        """Add a service with its upstreams and agents, and store its resources."""
         number = len(self.services) + 1
         self.services[name] = number
         address = f"10.0.0.{number}:443"
@@ -167,7 +169,7 @@
         return self._addresses.setdefault(name, fresh)
 
     def start_balancer(self, name: str) -> None:
-        """Start, or start again, a balancer."""
+        """Start or restart a balancer."""
         address = self._make_address(name)
         node = Node(
             name=name,
@@ -181,7 +183,7 @@
         self.nodes[name] = ProcessFake(name=name, address=address, state=state)
 
     def start_agent(self, name: str) -> None:
-        """Start, or start again, the agent beside an upstream."""
+        """Start or restart the agent of an upstream."""
         upstream = self.upstreams[name]
         node = Node(
             name=name,
@@ -201,7 +203,7 @@
         self.nodes[name] = ProcessFake(name=name, address=node.address, state=state)
 
     def take_over_address(self, name: str, service: str, address: Address) -> None:
-        """Start an agent of another service at the address of one that is gone."""
+        """Start an agent of another service at the address of an agent that exited."""
         self._addresses[name] = address
         slots = next(u.slots for u in self.upstreams.values() if u.service == service)
         self.upstreams[name] = FakeUpstream(name=name, service=service, slots=slots)
@@ -220,7 +222,7 @@
         )
 
     def list_balancers(self) -> list[ProcessFake]:
-        """Return the balancers that run."""
+        """Return the running balancers."""
         return [
             process
             for process in self.nodes.values()
@@ -228,7 +230,7 @@
         ]
 
     def apply(self, resource: Resource) -> None:
-        """Write a resource as an operator would, over whatever is stored."""
+        """Create or overwrite a resource, as an operator would."""
         kind, name = get_kind(resource), resource.name
         current = self.platform.objects.get((kind, name))
         version = current.version if current else 0
@@ -242,14 +244,14 @@
             self.platform.apply(Delete(kind=kind, name=name, expected=current.version))
 
     def put_machine(self, name: str, *, leaving: bool) -> None:
-        """Put a VM on the platform's list."""
+        """Add or update a VM in the platform's list."""
         others = tuple(m for m in self.platform.machines if m.name != name)
         self.platform.machines = (*others, Machine(name=name, leaving=leaving))
 
-    # What callers do.
+    # Callers
 
     def open_flow(self, service: str) -> CallerFlow:
-        """Send a caller's first packet."""
+        """Open a caller's flow by sending its Initial packet."""
         number = len(self.flows)
         flow = CallerFlow(
             number=number,
@@ -287,7 +289,7 @@
         return attempt
 
     def close_flow(self, flow: CallerFlow) -> None:
-        """Close a caller's connection; what it still waits for is given up."""
+        """Close a caller's connection and cancel its pending requests."""
         flow.broken = True
         flow.unsent.clear()
         for process in self.nodes.values():
@@ -307,7 +309,7 @@
         self.dispatch(process.name, closed)
 
     def cancel_request(self, attempt: Attempt) -> None:
-        """Give a request up; the agent hears of it at once."""
+        """Cancel a request; the agent is notified at once."""
         attempt.cancelled = True
         if attempt in attempt.flow.unsent:
             attempt.flow.unsent.remove(attempt)
@@ -327,7 +329,7 @@
         self.messages.append(ToBalancer(flow, datagram + bytes(16)))
 
     def retransmit(self) -> None:
-        """Send again all that has not arrived, in both directions."""
+        """Retransmit all undelivered data in both directions."""
         for flow in self.flows:
             if not flow.cid and not flow.broken:
                 self._send_initial(flow)
@@ -341,10 +343,10 @@
                 for payload in flow.unacknowledged:
                     self._send_payload(process, flow, payload)
 
-    # Messages.
+    # Messages
 
     def deliver_message(self, index: int = 0) -> None:
-        """Deliver one message and check the oracle."""
+        """Deliver one message and check the invariants."""
         if self._is_partitioned(self.messages[index]):
             self.drop_message(index)
             return
@@ -382,7 +384,7 @@
                 return False
 
     def drop_message(self, index: int) -> None:
-        """Lose one message, as its transport would notice."""
+        """Drop one message and report the failure as its transport would."""
         message = self.messages.pop(index)
         match message:
             case PlatformMessage():
@@ -398,32 +400,35 @@
         self.check_invariants()
 
     def duplicate_message(self, index: int) -> None:
-        """Double a datagram; streams between nodes cannot double."""
+        """Duplicate a datagram; other messages use streams, which cannot duplicate."""
         message = self.messages[index]
         if isinstance(message, DATAGRAMS):
             self.messages.append(message)
 
     def settle(self, seconds: float = 0.0, *, step: float = TICK_SECONDS) -> None:
-        """Deliver everything, and let time pass in small steps."""
+        """Deliver all messages while time advances by `seconds` in small steps."""
         end = self.now + seconds
         for _ in range(MAX_SETTLE_STEPS):
             self._deliver_all()
             if self.now >= end:
                 return
             self.advance(step)
-        raise OracleError("the system does not settle")
+        raise OracleError(f"time did not reach {end} within {MAX_SETTLE_STEPS} steps")
 
     def _deliver_all(self) -> None:
-        """Deliver until nothing is on its way; endless talk is a fault."""
+        """Deliver until no message is in flight; raise if that never happens."""
         for _ in range(MAX_DELIVERIES):
             if not self.messages:
                 return
             self.deliver_message(0)
         kinds = sorted({type(message).__name__ for message in self.messages})
-        raise OracleError(f"nodes talk without end: {kinds} {self.messages[:4]}")
+        raise OracleError(
+            f"messages remain after {MAX_DELIVERIES} deliveries: "
+            f"{kinds} {self.messages[:4]}"
+        )
 
     def advance(self, seconds: float) -> None:
-        """Let time pass; upstreams notice closed connections, nodes tick."""
+        """Advance time; upstreams notice closed connections and nodes tick."""
         self.now += seconds
         for upstream in self.upstreams.values():
             due = [c.run for c in upstream.cancels if c.due <= self.now]
@@ -431,8 +436,8 @@
             for run in due:
                 run.cancelled = run.running
                 run.running = False
-        waiting, self.pending_watches = self.pending_watches, []
-        self.messages += waiting
+        pending, self.pending_watches = self.pending_watches, []
+        self.messages += pending
         for process in list(self.nodes.values()):
             self._read_load(process)
             seed = self.generator.getrandbits(16)
@@ -451,19 +456,22 @@
         self.dispatch(process.name, events.UpstreamLoadRead(busy=busy, now=self.now))
 
     def dispatch(self, name: str, event: Event) -> None:
-        """Give a node an event; a frozen one gets it when it thaws."""
+        """Deliver an event to a node, or queue it while the node is frozen."""
         process = self.nodes.get(name)
         if process is None or process.exited:
             return
         if process.frozen:
             process.inbox.append(event)
             return
-        process.state, todo = reduce(process.state, event)
+        process.state, emitted = reduce(process.state, event)
         generation = process.state.node.configuration.generation
         if generation < process.highest_generation:
-            raise OracleError(f"{name} went back to generation {generation}")
+            raise OracleError(
+                f"{name} went from generation {process.highest_generation} "
+                f"back to {generation}"
+            )
         process.highest_generation = generation
-        for effect in todo:
+        for effect in emitted:
             self._execute(process, effect)
 
     def _dispatch_at(self, address: Address, event: Event) -> None:
@@ -472,10 +480,10 @@
                 self.dispatch(process.name, event)
                 return
 
-    # Faults of processes.
+    # Process faults
 
     def kill(self, name: str) -> None:
-        """End a process at once; its connections break."""
+        """Kill a process; its connections break."""
         process = self.nodes[name]
         process.exited = True
         upstream = self.upstreams.get(name)
@@ -493,11 +501,11 @@
         upstream.cancels += [Cancel(run, due) for run in runs]
 
     def freeze(self, name: str) -> None:
-        """Stop a process without ending it."""
+        """Suspend a process."""
         self.nodes[name].frozen = True
 
     def thaw(self, name: str) -> None:
-        """Let a process go on; what came meanwhile comes now, at its old time."""
+        """Resume a process and deliver the events it missed, at the current time."""
         process = self.nodes[name]
         process.frozen = False
         inbox, process.inbox = process.inbox, []
@@ -507,15 +515,15 @@
             self.dispatch(name, event)
 
     def stop(self, name: str) -> None:
-        """Begin a planned stop of a process."""
+        """Request a graceful stop of a process."""
         self.dispatch(name, events.StopRequested(now=self.now))
 
-    # Upstreams.
+    # Upstreams
 
     def finish_run(
         self, run: Run, *, answered: bool = True, shed: bool = False
     ) -> None:
-        """End a piece of work, with a whole answer or without one."""
+        """Finish a run, with a complete answer or a failure."""
         run.running = False
         run.shed = shed
         process = self.nodes.get(run.agent)
@@ -535,7 +543,7 @@
         self.dispatch(run.agent, event)
 
     def list_running(self) -> list[Run]:
-        """Return all work that goes on."""
+        """Return all runs in progress."""
         return [
             run
             for upstream in self.upstreams.values()
@@ -543,7 +551,7 @@
             if run.running
         ]
 
-    # Effects.
+    # Effects
 
     def _execute(self, process: ProcessFake, effect: Effect) -> None:
         match effect:
@@ -584,7 +592,7 @@
 
     def _exit_process(self, process: ProcessFake) -> None:
         if any(flow.caller_flow.attempts for flow in process.flows.values()):
-            raise OracleError(f"{process.name} left with open flows")
+            raise OracleError(f"{process.name} exited with open flows")
         process.exited = True
 
     def _execute_for_request(self, process: ProcessFake, effect: Effect) -> None:
@@ -638,7 +646,10 @@
         )
         upstream.journal.append(run)
         if attempt.flow.service != upstream.service:
-            raise OracleError(f"{attempt.work} ran on a wrong service")
+            raise OracleError(
+                f"{attempt.work} for {attempt.flow.service} ran on an upstream of "
+                f"{upstream.service}"
+            )
 
     def _send_answer(
         self,
@@ -675,7 +686,7 @@
         )
         self.messages.append(FrameMessage(process.address, flow.reply_to, frame))
 
-    # Deliveries.
+    # Delivery
 
     def _deliver_to_balancer(self, message: ToBalancer) -> None:
         live = [process for process in self.list_balancers()]
@@ -714,13 +725,13 @@
         self._open_agent_flow(process, effect, packet.cid)
 
     def _check_route(self, process: ProcessFake, cid: bytes) -> None:
-        """Demand that a minted ID leads to the service and the run that it names."""
+        """Check that a packet reached the service and incarnation in its ID."""
         assert isinstance(process.state, AgentState)
         state = process.state
         for route in KEYS.decode_connection_id(cid):
             foreign = route.service != state.service
             if foreign or route.incarnation != state.incarnation:
-                raise OracleError(f"{process.name} took a packet of {route}")
+                raise OracleError(f"{process.name} received a packet for {route}")
 
     def _open_agent_flow(
         self, process: ProcessFake, effect: effects.Deliver, first_cid: bytes
@@ -806,9 +817,12 @@
         attempt.ticket = payload.ticket
         attempt.retry_after = payload.retry_after
         if payload.outcome == RequestOutcome.DONE:
-            wanted = f"done {attempt.work}".encode()
-            if payload.body != wanted:
-                raise OracleError(f"{attempt.work} got {payload.body!r}")
+            expected = f"done {attempt.work}".encode()
+            if payload.body != expected:
+                raise OracleError(
+                    f"{attempt.work} was answered with {payload.body!r}, "
+                    f"expected {expected!r}"
+                )
 
     def _call_platform(self, message: PlatformMessage) -> None:
         if self.platform_down:
@@ -936,13 +950,13 @@
         self.dispatch(message.node, events.HandoverDone(accepted=False, now=self.now))
 
     def check_invariants(self) -> None:
-        """Raise `OracleError` where a promise does not hold."""
+        """Raise `OracleError` if an invariant is violated."""
         check_slots(self.upstreams.values())
         check_runs(self.upstreams.values(), self.attempts)
         check_accepted(self.nodes.values(), self.accepted)
 
     def clear_faults(self) -> None:
-        """Undo all faults and let everything finish."""
+        """Clear all faults, restart exited processes and finish all requests."""
         self.platform_down = False
         self.lost_answer_count = self.stale_list_count = 0
         self.platform.machines = ()
@@ -968,16 +982,16 @@
             self.settle(0.5)
 
     def check_final_state(self) -> None:
-        """Demand an answer to every request, and agreement between nodes."""
+        """Check that every request was answered and that all nodes agree."""
         for attempt in self.attempts:
             waiting = attempt.outcome is None and not attempt.cancelled
             waiting = waiting and attempt.path != "/stream"
             if waiting and not attempt.flow.broken:
-                raise OracleError(f"{attempt.work} was lost without an answer")
+                raise OracleError(f"{attempt.work} was never answered")
         generations = {
             process.state.node.configuration.generation
             for process in self.nodes.values()
             if not process.exited
         }
         if len(generations) != 1:
-            raise OracleError(f"nodes are at generations {generations}")
+            raise OracleError(f"nodes disagree on the generation: {generations}")
--- a/shedsill/testing/links.py
+++ b/shedsill/testing/links.py
@@ -1,10 +1,9 @@
-"""Loopback proxies between the processes of a deployment, with faults.
+"""Loopback proxies between the processes of a deployment, with fault injection.
 
-A node sends every message to one port, whatever the receiver.  So each node gets
-port numbers of its own, and the proxy listens for it at every other node's IP
-number: what comes in at ``(receiver, port of the sender)`` is passed on to
-``(receiver, port of the receiver)`` from a socket at the sender's IP number, by
-which nodes know each other.  Nothing in the nodes is changed for it.
+A node sends to the same port number at every receiver, so each node gets its own port
+numbers.  The proxy listens at ``(receiver, port of the sender)`` and forwards to
+``(receiver, port of the receiver)`` from a socket at the sender's IP address, by which
+nodes identify each other.  The nodes themselves run unmodified.
 """
 
 from __future__ import annotations
@@ -27,17 +26,17 @@
 
 @frozen
 class LinkFault:
-    """What is wrong with one direction of a link.
+    """Faults of one direction of a link.
 
     Attributes
     ----------
     delay, jitter : float
-        Seconds by which everything is late, and by how much more at random; with
-        jitter, datagrams overtake each other.
+        Fixed delay in seconds, and the maximum of a random delay added to it; with
+        jitter, datagrams are reordered.
     loss_share, duplicate_share : float
-        Shares of datagrams that are lost, and that come twice.
+        Shares of datagrams that are lost and duplicated.
     blocked : bool
-        Whether nothing passes; bytes of connections wait until it does.
+        Whether all traffic is blocked: datagrams are lost, streams are stalled.
     """
 
     delay: float = 0.0
@@ -49,14 +48,14 @@
 
 @frozen
 class NodePorts:
-    """The ports of one node that others reach through the proxy."""
+    """Ports of one node that other nodes reach through the proxy."""
 
     packets: int
     messages: int
 
 
 class _LinkReceiver(asyncio.DatagramProtocol):
-    """Takes what one node sends to another."""
+    """Receives the datagrams that one node sends to another."""
 
     def __init__(self, links: Links, link: Link, channel: str) -> None:
         self._links = links
@@ -74,9 +73,9 @@
     Attributes
     ----------
     faults : dict of Link to LinkFault
-        May be changed at any time.
+        Active faults; may be changed at any time.
     ports : dict of str to NodePorts
-        By host.
+        Ports by host.
     """
 
     generator: random.Random
@@ -87,7 +86,7 @@
     _writers: dict[asyncio.StreamWriter, Link] = field(factory=dict)
 
     async def add_node(self, host: str) -> NodePorts:
-        """Connect a new node with all others; return its ports."""
+        """Open the proxies between a new node and all others; return its ports."""
         if host in self.ports:
             return self.ports[host]
         ports = NodePorts(*find_ports(2))
@@ -102,7 +101,7 @@
         return ports
 
     async def _listen(self, sender: str, ports: NodePorts, receiver: str) -> None:
-        """Listen at one node's IP number for what another sends there."""
+        """Listen at the receiver's IP address for traffic of the sender."""
         loop = asyncio.get_running_loop()
         link = (sender, receiver)
         for channel in ("packets", "messages"):
@@ -122,7 +121,7 @@
         self._listeners.append(server)
 
     async def open_stream(self, link: Link, host: str, target: tuple) -> int:
-        """Open a proxy for connections to one target; return its port."""
+        """Open a proxy for TCP connections to a target; return its port."""
         (port,) = find_ports(1)
 
         async def relay_connection(
@@ -136,7 +135,7 @@
     # Datagrams
 
     def forward_datagram(self, link: Link, channel: str, data: bytes) -> None:
-        """Pass a datagram on, or do to it what the link's fault says."""
+        """Forward a datagram, subject to the link's fault."""
         fault = self.faults.get(link)
         if fault is None:
             self._send_datagram(link, channel, data)
@@ -152,7 +151,7 @@
     def _send_datagram(self, link: Link, channel: str, data: bytes) -> None:
         sender, receiver = link
         target = (receiver, getattr(self.ports[receiver], channel))
-        # A full buffer or a closed port loses a datagram, as a network does.
+        # A full buffer or a closed port drops the datagram, as a network would.
         with contextlib.suppress(OSError):
             self._senders[sender].sendto(data, target)
 
@@ -165,25 +164,25 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        """Carry one connection in both directions."""
+        """Relay one connection in both directions."""
         try:
-            far_reader, far_writer = await asyncio.open_connection(*target)
+            target_reader, target_writer = await asyncio.open_connection(*target)
         except OSError:
             writer.transport.abort()
             return
-        back = (link[1], link[0])
-        self._writers |= {writer: link, far_writer: link}
+        reverse = (link[1], link[0])
+        self._writers |= {writer: link, target_writer: link}
         try:
             await asyncio.gather(
-                self._relay_bytes(link, reader, far_writer),
-                self._relay_bytes(back, far_reader, writer),
+                self._relay_bytes(link, reader, target_writer),
+                self._relay_bytes(reverse, target_reader, writer),
             )
         except OSError:
-            # Reset by one end or by `reset_connections`; both ends see it.
-            far_writer.transport.abort()
+            # Propagates a reset by one end, or by `reset_connections`, to both ends.
+            target_writer.transport.abort()
             writer.transport.abort()
         finally:
-            del self._writers[writer], self._writers[far_writer]
+            del self._writers[writer], self._writers[target_writer]
 
     async def _relay_bytes(
         self, link: Link, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -204,7 +203,7 @@
                 writer.transport.abort()
 
     def close(self) -> None:
-        """Close everything."""
+        """Close all proxies and connections."""
         for writer in list(self._writers):
             writer.transport.abort()
         for listener in self._listeners:
