--- a/shedsill/testing/embedded.py
+++ b/shedsill/testing/embedded.py
@@ -1,4 +1,4 @@
-"""The whole system with its stand-ins in one process, on loopback."""
+"""Balancers, agents and all stand-ins in one process, on loopback."""
 
 from __future__ import annotations
 
@@ -37,14 +37,14 @@
 
 @define
 class EmbeddedSystem:
-    """All parts of one small system.
+    """A small system of balancers, agents, upstreams, fabric and platform.
 
     Attributes
     ----------
     layouts : tuple of ServiceLayout
         Services with their upstreams.
     service_addresses : dict of str to Address
-        Where callers reach each service.
+        Address at which callers reach each service.
     """
 
     layouts: tuple[ServiceLayout, ...]
@@ -66,7 +66,7 @@
     _seeds: tuple[Address, ...] = ()
 
     async def start(self) -> None:
-        """Start all parts; resources are still to be applied."""
+        """Start all components; resources must be applied separately."""
         names = [name for layout in self.layouts for name in layout.upstreams]
         count = 1 + self.balancer_count + 2 * len(names) + 2 * len(self.layouts)
         ports = iter(find_ports(count))
@@ -97,7 +97,7 @@
         self.platform_url = f"http://{HOST}:{port}"
 
     def make_platform_client(self) -> HttpPlatform:
-        """Return a client of the platform stand-in, closed at the end."""
+        """Return a client of the platform stand-in; `stop` closes it."""
         client = HttpPlatform(self.platform_url)
         self._clients.append(client)
         return client
@@ -159,10 +159,10 @@
         self.fabric = Fabric(generator=random.Random(self.seed))
         hosts = [address.host for address in self._seeds]
         for layout in self.layouts:
-            front = self.service_addresses[layout.name] = Address(HOST, next(ports))
+            address = self.service_addresses[layout.name] = Address(HOST, next(ports))
             port = service_ports[layout.name]
             targets = tuple(Address(host, port) for host in hosts)
-            await self.fabric.listen(front, targets)
+            await self.fabric.listen(address, targets)
 
     async def wait_ready(self, timeout: float = 20.0) -> None:
         """Wait until every node is ready."""
@@ -172,7 +172,7 @@
                 await asyncio.sleep(READY_POLL_SECONDS)
 
     async def stop(self) -> None:
-        """Stop all parts."""
+        """Stop all components."""
         for node in [*self.agents.values(), *self.balancers.values()]:
             await node.stop()
         if self.fabric is not None:
--- a/shedsill/testing/fabric.py
+++ b/shedsill/testing/fabric.py
@@ -1,13 +1,12 @@
-"""A stand-in for the fabric that sprays packets over the balancers.
+"""A stand-in for the network fabric that sprays packets over the balancers.
 
-Run it with ``python -m shedsill.testing.fabric --listen IP:PORT
---balancers IP:PORT,IP:PORT ... --control PORT``.
+Run it with ``python -m shedsill.testing.fabric --route IP:PORT IP:PORT,IP:PORT
+--control PORT``, with one ``--route`` per listening address and its balancers.
 
-Each datagram that comes to a listening address goes to a balancer drawn at
-random.  Each caller gets a socket of its own towards the balancers, so that any
-of them can answer it.  ``POST /balancers`` with ``{"withdrawn": ["IP"]}`` takes
-balancers out; ``POST /faults`` sets the shares of datagrams that are dropped,
-duplicated or held back.
+Each datagram received at a listening address is sent to a random balancer.  Each
+caller has its own socket towards the balancers, so that any of them can answer.
+``POST /balancers`` with ``{"withdrawn": ["IP"]}`` withdraws balancers; ``POST /faults``
+sets the shares of datagrams that are dropped, duplicated or reordered.
 """
 
 from __future__ import annotations
@@ -28,7 +27,7 @@
 
 @define
 class FabricFaults:
-    """Shares, from 0 to 1, of datagrams that suffer each fault."""
+    """Shares of datagrams, from 0 to 1, that each fault affects."""
 
     drop: float = 0.0
     duplicate: float = 0.0
@@ -37,7 +36,7 @@
 
 @define
 class Fabric:
-    """Sprays datagrams; one instance may listen at several addresses."""
+    """Sprays datagrams received at one or more addresses over balancers."""
 
     generator: random.Random
     faults: FabricFaults = field(factory=FabricFaults)
@@ -46,7 +45,7 @@
     forwarded: int = 0
 
     async def listen(self, address: Address, balancers: tuple[Address, ...]) -> None:
-        """Spray what comes to an address over some balancers."""
+        """Spray the datagrams received at an address over some balancers."""
         loop = asyncio.get_running_loop()
         transport, _protocol = await loop.create_datagram_endpoint(
             lambda: _ServiceListener(self, balancers), local_addr=address.pair
@@ -54,12 +53,12 @@
         self.transports.append(transport)
 
     def choose_balancer(self, balancers: tuple[Address, ...]) -> Address | None:
-        """Draw one of the balancers that are not withdrawn."""
+        """Choose a random balancer that is not withdrawn."""
         live = [b for b in balancers if b.host not in self.withdrawn]
         return self.generator.choice(live) if live else None
 
     def forward_datagram(self, send: Any, data: bytes) -> None:
-        """Apply the faults to one datagram."""
+        """Send a datagram, subject to the faults."""
         self.forwarded += 1
         if self.generator.random() < self.faults.drop:
             return
@@ -78,7 +77,7 @@
 
 
 class _ServiceListener(asyncio.DatagramProtocol):
-    """Receives what callers send to one service address."""
+    """Receives the datagrams that callers send to one service address."""
 
     def __init__(self, fabric: Fabric, balancers: tuple[Address, ...]) -> None:
         self._fabric = fabric
@@ -90,27 +89,33 @@
         self.transport = transport
 
     def datagram_received(self, data: bytes, addr: tuple) -> None:
-        back = self._callers.get(addr)
-        if back is None:
+        caller_socket = self._callers.get(addr)
+        if caller_socket is None:
             if len(self._callers) >= MAX_CALLERS:
                 return
-            back = self._callers[addr] = _CallerSocket(self._fabric, self, addr)
-            asyncio.get_running_loop().create_task(back.open())
+            caller_socket = self._callers[addr] = _CallerSocket(
+                self._fabric, self, addr
+            )
+            asyncio.get_running_loop().create_task(caller_socket.open())
         self._fabric.forward_datagram(
-            lambda part: back.send(self._fabric.choose_balancer(self._balancers), part),
+            lambda payload: caller_socket.send(
+                self._fabric.choose_balancer(self._balancers), payload
+            ),
             data,
         )
 
 
 class _CallerSocket(asyncio.DatagramProtocol):
-    """One caller's socket towards the balancers."""
+    """Socket of one caller towards the balancers."""
 
-    def __init__(self, fabric: Fabric, front: _ServiceListener, caller: tuple) -> None:
+    def __init__(
+        self, fabric: Fabric, listener: _ServiceListener, caller: tuple
+    ) -> None:
         self._fabric = fabric
-        self._front = front
+        self._listener = listener
         self._caller = caller
         self._transport: Any = None
-        self._waiting: list[tuple[Address, bytes]] = []
+        self._unsent: list[tuple[Address, bytes]] = []
 
     async def open(self) -> None:
         loop = asyncio.get_running_loop()
@@ -118,15 +123,15 @@
             lambda: self, local_addr=("127.0.0.1", 0)
         )
         self._fabric.transports.append(self._transport)
-        for destination, data in self._waiting:
+        for destination, data in self._unsent:
             self._transport.sendto(data, destination.pair)
-        self._waiting.clear()
+        self._unsent.clear()
 
     def send(self, destination: Address | None, data: bytes) -> None:
         if destination is None:
             return
         if self._transport is None:
-            self._waiting.append((destination, data))
+            self._unsent.append((destination, data))
         elif not self._transport.is_closing():
             self._transport.sendto(data, destination.pair)
 
@@ -135,15 +140,15 @@
         self._fabric.forward_datagram(self._answer, data)
 
     def _answer(self, data: bytes) -> None:
-        if not self._front.transport.is_closing():
-            self._front.transport.sendto(data, self._caller)
+        if not self._listener.transport.is_closing():
+            self._listener.transport.sendto(data, self._caller)
 
     def error_received(self, exc: Exception) -> None:
         del exc
 
 
 def make_control(fabric: Fabric) -> web.Application:
-    """Return the application that switches faults."""
+    """Return the HTTP application that controls balancers and faults."""
 
     async def set_balancers(request: web.Request) -> web.Response:
         fabric.withdrawn = set((await request.json())["withdrawn"])
@@ -161,10 +166,10 @@
 
 
 async def _run(
-    pairs: list[tuple[str, str]], control: int, seed: int
+    routes: list[tuple[str, str]], control: int, seed: int
 ) -> None:  # pragma: no cover
     fabric = Fabric(generator=random.Random(seed))
-    for address, balancers in pairs:
+    for address, balancers in routes:
         targets = tuple(parse_address(text) for text in balancers.split(","))
         await fabric.listen(parse_address(address), targets)
     runner = web.AppRunner(make_control(fabric), access_log=None)
@@ -174,11 +179,17 @@
 
 
 @click.command()
-@click.option("--route", nargs=2, multiple=True, required=True, help="LISTEN BALANCERS")
+@click.option(
+    "--route",
+    nargs=2,
+    multiple=True,
+    required=True,
+    help="Listening address and its balancers: IP:PORT IP:PORT,IP:PORT",
+)
 @click.option("--control", type=int, required=True)
 @click.option("--seed", type=int, default=1, show_default=True)
 def main(route: tuple[tuple[str, str], ...], control: int, seed: int) -> None:
-    """Run the fabric stand-in."""
+    """Spray datagrams over balancers until interrupted."""
     asyncio.run(_run(list(route), control, seed))
 
 
--- a/shedsill/testing/object_store.py
+++ b/shedsill/testing/object_store.py
@@ -1,8 +1,8 @@
 """A stand-in for the hosting platform's object store, over HTTP.
 
-Objects are kept by kind and name with a revision, lists come in pages, watches
-carry events, and history can be forgotten.  `StoreFaults` makes the store slow, down,
-or lose the answers of writes.
+Objects are stored by kind and name with a revision, lists are paginated, watches
+return events, and the history can be dropped.  `StoreFaults` makes the store slow or
+unavailable, or loses the answers to writes.
 """
 
 from __future__ import annotations
@@ -21,16 +21,16 @@
 
 @define
 class StoreFaults:
-    """Faults that can be switched on.
+    """Faults to inject.
 
     Attributes
     ----------
     delay : float
-        Seconds before each answer.
+        Delay of each answer in seconds.
     failure_mode : str
         Empty, ``busy`` (503), ``reset`` or ``silent``.
     lose_answers : int
-        Writes whose effect is kept while the answer is lost.
+        Number of writes that are applied but whose answer is lost.
     """
 
     delay: float = 0.0
@@ -40,7 +40,15 @@
 
 @define
 class ObjectStoreStandIn:
-    """The stand-in's state and handlers; counts its calls."""
+    """Objects, history and HTTP handlers of the store.
+
+    Attributes
+    ----------
+    calls : int
+        Number of calls received.
+    dropped_revision : int
+        Watches from before this revision are answered with 410.
+    """
 
     faults: StoreFaults = field(factory=StoreFaults)
     page_size: int = PAGE_SIZE
@@ -61,14 +69,14 @@
         return app
 
     def write(self, kind: str, name: str, spec: Any) -> int:
-        """Write an object as the operator would; return its revision."""
+        """Write an object as an operator would; return its revision."""
         self.revision += 1
         meta = {"name": name, "rev": self.revision, "finalizers": []}
         self._record_object(kind, {"meta": meta, "spec": spec, "status": None})
         return self.revision
 
     def drop_history(self) -> None:
-        """Drop all changes; watches from before get 410."""
+        """Drop all recorded changes; watches from before now get 410."""
         self.history.clear()
         self.dropped_revision = self.revision
 
@@ -142,8 +150,8 @@
         known = self._find(request)
         if known is None:
             return web.json_response({}, status=404)
-        wanted = body["meta"].get("rev")
-        if wanted is not None and wanted != known["meta"]["rev"]:
+        expected = body["meta"].get("rev")
+        if expected is not None and expected != known["meta"]["rev"]:
             return web.json_response(known, status=HTTP_CONFLICT)
         if body["spec"] == known["spec"]:
             return web.json_response(known)
@@ -157,8 +165,8 @@
         known = self._find(request)
         if known is None:
             return web.json_response({}, status=404)
-        wanted = request.query.get("rev")
-        if wanted is not None and int(wanted) != known["meta"]["rev"]:
+        expected = request.query.get("rev")
+        if expected is not None and int(expected) != known["meta"]["rev"]:
             return web.json_response(known, status=HTTP_CONFLICT)
         kind = request.match_info["kind"]
         self.revision += 1
--- a/shedsill/testing/platform.py
+++ b/shedsill/testing/platform.py
@@ -2,12 +2,12 @@
 
 Run it with ``python -m shedsill.testing.platform --port PORT``.
 
-``GET /objects?kinds=a,b``, ``GET|PUT|DELETE /objects/KIND/NAME`` (writes carry
-``If-Match: VERSION``), ``GET /watch?kinds=&revision=&patience=``, ``GET /vms``,
-``PUT /vms/NAME``, and ``POST /faults`` with any of ``down`` (bool), ``delay``
-(seconds), ``lose_answers`` (number of writes whose effect is kept while the
-answer is lost), ``stale_reads`` (number of lists answered from before the last
-write).
+It serves ``GET /objects?kinds=a,b``, ``GET|PUT|DELETE /objects/KIND/NAME`` (writes
+carry ``If-Match: VERSION``), ``GET /watch?kinds=&revision=&patience=``, ``GET /vms``,
+``PUT|DELETE /vms/NAME`` and ``GET /calls``.  ``POST /faults`` takes any of ``down``
+(bool), ``delay`` (seconds), ``lose_answers`` (number of writes that are applied but
+whose answer is lost) and ``stale_reads`` (number of lists answered with the state
+before the last write).
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 @define
 class PlatformFaults:
-    """Faults that can be switched on."""
+    """Faults to inject; the names are keys of ``POST /faults``."""
 
     down: bool = False
     delay: float = 0.0
@@ -50,7 +50,13 @@
 
 @define
 class PlatformStandIn:
-    """The stand-in's state and handlers; counts its calls."""
+    """Store, faults and HTTP handlers of the platform.
+
+    Attributes
+    ----------
+    calls, writes : int
+        Number of calls and of writes received.
+    """
 
     store: MemoryPlatform = field(factory=MemoryPlatform)
     faults: PlatformFaults = field(factory=PlatformFaults)
@@ -162,8 +168,8 @@
 
     async def _delete_machine(self, request: web.Request) -> web.Response:
         name = request.match_info["name"]
-        kept = tuple(m for m in self.store.machines if m.name != name)
-        self.store.machines = kept
+        remaining = tuple(m for m in self.store.machines if m.name != name)
+        self.store.machines = remaining
         return web.json_response({})
 
     async def _set_faults(self, request: web.Request) -> web.Response:
@@ -188,7 +194,7 @@
 @click.option("--host", default="127.0.0.1", show_default=True)
 @click.option("--port", type=int, required=True)
 def main(host: str, port: int) -> None:
-    """Run the platform stand-in."""
+    """Serve the platform's object API, kept in memory, until interrupted."""
     web.run_app(PlatformStandIn().make_app(), host=host, port=port, print=None)
 
 
