--- a/shedsill/testing/embedded.py
+++ b/shedsill/testing/embedded.py
@@ -1,4 +1,4 @@
-"""The whole system with its stand-ins in one process, on loopback."""
+"""Balancers, agents and all stand-ins in one process, on loopback."""
 
 from __future__ import annotations
 
@@ -30,21 +30,21 @@
 from shedsill.testing.upstream import UpstreamStandIn, serve_upstream
 
 HOST = "127.0.0.1"
-IDLE_SPAN = 0.3
-QUIET = 1.0
-READY_PAUSE = 0.05
+IDLE_SPAN_SECONDS = 0.3
+STOP_IDLE_SECONDS = 1.0
+READY_POLL_SECONDS = 0.05
 
 
 @define
-class Embedded:
-    """All parts of one small system.
+class EmbeddedSystem:
+    """A small system of balancers, agents, upstreams, fabric and platform.
 
     Attributes
     ----------
     layouts : tuple of ServiceLayout
         Services with their upstreams.
-    fronts : dict of str to Address
-        Where callers reach each service.
+    service_addresses : dict of str to Address
+        Address at which callers reach each service.
     """
 
     layouts: tuple[ServiceLayout, ...]
@@ -56,7 +56,7 @@
     certificate: TestCertificate = field(factory=make_certificate)
     keys: KeyRing = field(factory=lambda: KeyRing((bytes(range(32)),)))
     fabric: Fabric | None = None
-    fronts: dict[str, Address] = field(factory=dict)
+    service_addresses: dict[str, Address] = field(factory=dict)
     balancers: dict[str, Balancer] = field(factory=dict)
     agents: dict[str, Agent] = field(factory=dict)
     upstreams: dict[str, UpstreamStandIn] = field(factory=dict)
@@ -66,7 +66,7 @@
     _seeds: tuple[Address, ...] = ()
 
     async def start(self) -> None:
-        """Start all parts; resources are still to be applied."""
+        """Start all components; resources must be applied separately."""
         names = [name for layout in self.layouts for name in layout.upstreams]
         count = 1 + self.balancer_count + 2 * len(names) + 2 * len(self.layouts)
         ports = iter(find_ports(count))
@@ -97,7 +97,7 @@
         self.platform_url = f"http://{HOST}:{port}"
 
     def make_platform_client(self) -> HttpPlatform:
-        """Return a client of the platform stand-in, closed at the end."""
+        """Return a client of the platform stand-in; `stop` closes it."""
         client = HttpPlatform(self.platform_url)
         self._clients.append(client)
         return client
@@ -110,7 +110,7 @@
             seeds=self._seeds,
             service_host=address.host,
             limits=FlowLimits(),
-            settings=BalancerSettings(stop_idle_timeout=QUIET),
+            settings=BalancerSettings(stop_idle_timeout=STOP_IDLE_SECONDS),
         )
         balancer = Balancer(
             options,
@@ -137,7 +137,7 @@
             incarnation=draw_incarnation(),
             seeds=self._seeds,
             settings=AgentSettings(),
-            admission=AdmissionSettings(idle_span=IDLE_SPAN),
+            admission=AdmissionSettings(idle_span=IDLE_SPAN_SECONDS),
             policy=TwoCandidates(),
         )
         agent = Agent(
@@ -159,20 +159,20 @@
         self.fabric = Fabric(generator=random.Random(self.seed))
         hosts = [address.host for address in self._seeds]
         for layout in self.layouts:
-            front = self.fronts[layout.name] = Address(HOST, next(ports))
+            address = self.service_addresses[layout.name] = Address(HOST, next(ports))
             port = service_ports[layout.name]
             targets = tuple(Address(host, port) for host in hosts)
-            await self.fabric.listen(front, targets)
+            await self.fabric.listen(address, targets)
 
     async def wait_ready(self, timeout: float = 20.0) -> None:
         """Wait until every node is ready."""
         nodes = [*self.balancers.values(), *self.agents.values()]
         async with asyncio.timeout(timeout):
             while not all(node.get_status()["ready"] for node in nodes):
-                await asyncio.sleep(READY_PAUSE)
+                await asyncio.sleep(READY_POLL_SECONDS)
 
     async def stop(self) -> None:
-        """Stop all parts."""
+        """Stop all components."""
         for node in [*self.agents.values(), *self.balancers.values()]:
             await node.stop()
         if self.fabric is not None:
--- a/shedsill/testing/links.py
+++ b/shedsill/testing/links.py
@@ -1,10 +1,9 @@
-"""Loopback proxies between the processes of a deployment, with faults.
+"""Loopback proxies between the processes of a deployment, with fault injection.
 
-A node sends every message to one port, whatever the receiver.  So each node gets
-port numbers of its own, and the proxy listens for it at every other node's IP
-number: what comes in at ``(receiver, port of the sender)`` is passed on to
-``(receiver, port of the receiver)`` from a socket at the sender's IP number, by
-which nodes know each other.  Nothing in the nodes is changed for it.
+A node sends to the same port number at every receiver, so each node gets its own port
+numbers.  The proxy listens at ``(receiver, port of the sender)`` and forwards to
+``(receiver, port of the receiver)`` from a socket at the sender's IP address, by which
+nodes identify each other.  The nodes themselves run unmodified.
 """
 
 from __future__ import annotations
@@ -18,8 +17,8 @@
 
 from shedsill.testing.ports import find_ports
 
-CHUNK = 65_536
-POLL = 0.05
+CHUNK_BYTES = 65_536
+POLL_SECONDS = 0.05
 
 Link = tuple[str, str]
 """Sender and receiver, by host."""
@@ -27,36 +26,36 @@
 
 @frozen
 class LinkFault:
-    """What is wrong with one direction of a link.
+    """Faults of one direction of a link.
 
     Attributes
     ----------
     delay, jitter : float
-        Seconds by which everything is late, and by how much more at random; with
-        jitter, datagrams overtake each other.
-    loss, copies : float
-        Shares of datagrams that are lost, and that come twice.
-    cut : bool
-        Whether nothing passes; bytes of connections wait until it does.
+        Fixed delay in seconds, and the maximum of a random delay added to it; with
+        jitter, datagrams are reordered.
+    loss_share, duplicate_share : float
+        Shares of datagrams that are lost and duplicated.
+    blocked : bool
+        Whether all traffic is blocked: datagrams are lost, streams are stalled.
     """
 
     delay: float = 0.0
     jitter: float = 0.0
-    loss: float = 0.0
-    copies: float = 0.0
-    cut: bool = False
+    loss_share: float = 0.0
+    duplicate_share: float = 0.0
+    blocked: bool = False
 
 
 @frozen
 class NodePorts:
-    """The ports of one node that others reach through the proxy."""
+    """Ports of one node that other nodes reach through the proxy."""
 
     packets: int
     messages: int
 
 
-class _Listener(asyncio.DatagramProtocol):
-    """Takes what one node sends to another."""
+class _LinkReceiver(asyncio.DatagramProtocol):
+    """Receives the datagrams that one node sends to another."""
 
     def __init__(self, links: Links, link: Link, channel: str) -> None:
         self._links = links
@@ -64,7 +63,7 @@
         self._channel = channel
 
     def datagram_received(self, data: bytes, addr: tuple) -> None:
-        self._links.carry(self._link, self._channel, data)
+        self._links.forward_datagram(self._link, self._channel, data)
 
 
 @define(eq=False)
@@ -74,9 +73,9 @@
     Attributes
     ----------
     faults : dict of Link to LinkFault
-        May be changed at any time.
+        Active faults; may be changed at any time.
     ports : dict of str to NodePorts
-        By host.
+        Ports by host.
     """
 
     generator: random.Random
@@ -86,8 +85,8 @@
     _listeners: list = field(factory=list)
     _writers: dict[asyncio.StreamWriter, Link] = field(factory=dict)
 
-    async def join(self, host: str) -> NodePorts:
-        """Connect a new node with all others; return its ports."""
+    async def add_node(self, host: str) -> NodePorts:
+        """Open the proxies between a new node and all others; return its ports."""
         if host in self.ports:
             return self.ports[host]
         ports = NodePorts(*find_ports(2))
@@ -102,109 +101,109 @@
         return ports
 
     async def _listen(self, sender: str, ports: NodePorts, receiver: str) -> None:
-        """Listen at one node's IP number for what another sends there."""
+        """Listen at the receiver's IP address for traffic of the sender."""
         loop = asyncio.get_running_loop()
         link = (sender, receiver)
         for channel in ("packets", "messages"):
             transport, _protocol = await loop.create_datagram_endpoint(
-                lambda c=channel: _Listener(self, link, c),
+                lambda c=channel: _LinkReceiver(self, link, c),
                 local_addr=(receiver, getattr(ports, channel)),
             )
             self._listeners.append(transport)
 
-        async def relay(
+        async def relay_connection(
             reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
             target = (receiver, self.ports[receiver].messages)
-            await self.relay(link, target, reader, writer)
+            await self.relay_connection(link, target, reader, writer)
 
-        server = await asyncio.start_server(relay, receiver, ports.messages)
+        server = await asyncio.start_server(relay_connection, receiver, ports.messages)
         self._listeners.append(server)
 
     async def open_stream(self, link: Link, host: str, target: tuple) -> int:
-        """Open a proxy for connections to one target; return its port."""
+        """Open a proxy for TCP connections to a target; return its port."""
         (port,) = find_ports(1)
 
-        async def relay(
+        async def relay_connection(
             reader: asyncio.StreamReader, writer: asyncio.StreamWriter
         ) -> None:
-            await self.relay(link, target, reader, writer)
+            await self.relay_connection(link, target, reader, writer)
 
-        self._listeners.append(await asyncio.start_server(relay, host, port))
+        self._listeners.append(await asyncio.start_server(relay_connection, host, port))
         return port
 
     # Datagrams
 
-    def carry(self, link: Link, channel: str, data: bytes) -> None:
-        """Pass a datagram on, or do to it what the link's fault says."""
+    def forward_datagram(self, link: Link, channel: str, data: bytes) -> None:
+        """Forward a datagram, subject to the link's fault."""
         fault = self.faults.get(link)
         if fault is None:
-            self._deliver(link, channel, data)
+            self._send_datagram(link, channel, data)
             return
-        if fault.cut or self.generator.random() < fault.loss:
+        if fault.blocked or self.generator.random() < fault.loss_share:
             return
-        copies = 2 if self.generator.random() < fault.copies else 1
+        copies = 2 if self.generator.random() < fault.duplicate_share else 1
         loop = asyncio.get_running_loop()
         for _ in range(copies):
             after = fault.delay + self.generator.uniform(0.0, fault.jitter)
-            loop.call_later(after, self._deliver, link, channel, data)
+            loop.call_later(after, self._send_datagram, link, channel, data)
 
-    def _deliver(self, link: Link, channel: str, data: bytes) -> None:
+    def _send_datagram(self, link: Link, channel: str, data: bytes) -> None:
         sender, receiver = link
         target = (receiver, getattr(self.ports[receiver], channel))
-        # A full buffer or a closed port loses a datagram, as a network does.
+        # A full buffer or a closed port drops the datagram, as a network would.
         with contextlib.suppress(OSError):
             self._senders[sender].sendto(data, target)
 
     # Connections
 
-    async def relay(
+    async def relay_connection(
         self,
         link: Link,
         target: tuple,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        """Carry one connection in both directions."""
+        """Relay one connection in both directions."""
         try:
-            far_reader, far_writer = await asyncio.open_connection(*target)
+            target_reader, target_writer = await asyncio.open_connection(*target)
         except OSError:
             writer.transport.abort()
             return
-        back = (link[1], link[0])
-        self._writers |= {writer: link, far_writer: link}
+        reverse = (link[1], link[0])
+        self._writers |= {writer: link, target_writer: link}
         try:
             await asyncio.gather(
-                self._pipe(link, reader, far_writer),
-                self._pipe(back, far_reader, writer),
+                self._relay_bytes(link, reader, target_writer),
+                self._relay_bytes(reverse, target_reader, writer),
             )
         except OSError:
-            # Reset by one end or by `reset`; both ends see it.
-            far_writer.transport.abort()
+            # Propagates a reset by one end, or by `reset_connections`, to both ends.
+            target_writer.transport.abort()
             writer.transport.abort()
         finally:
-            del self._writers[writer], self._writers[far_writer]
+            del self._writers[writer], self._writers[target_writer]
 
-    async def _pipe(
+    async def _relay_bytes(
         self, link: Link, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        while data := await reader.read(CHUNK):
-            while (fault := self.faults.get(link)) and fault.cut:
-                await asyncio.sleep(POLL)
+        while data := await reader.read(CHUNK_BYTES):
+            while (fault := self.faults.get(link)) and fault.blocked:
+                await asyncio.sleep(POLL_SECONDS)
             if fault is not None:
                 await asyncio.sleep(fault.delay)
             writer.write(data)
             await writer.drain()
         writer.close()
 
-    def reset(self, host: str) -> None:
+    def reset_connections(self, host: str) -> None:
         """Reset all connections of a node."""
         for writer, link in list(self._writers.items()):
             if host in link:
                 writer.transport.abort()
 
     def close(self) -> None:
-        """Close everything."""
+        """Close all proxies and connections."""
         for writer in list(self._writers):
             writer.transport.abort()
         for listener in self._listeners:
--- a/shedsill/testing/object_store.py
+++ b/shedsill/testing/object_store.py
@@ -1,8 +1,8 @@
 """A stand-in for the hosting platform's object store, over HTTP.
 
-Objects are kept by kind and name with a revision, lists come in pages, watches
-carry events, and history can be forgotten.  `Faults` makes the store slow, down,
-or lose the answers of writes.
+Objects are stored by kind and name with a revision, lists are paginated, watches
+return events, and the history can be dropped.  `StoreFaults` makes the store slow or
+unavailable, or loses the answers to writes.
 """
 
 from __future__ import annotations
@@ -13,42 +13,50 @@
 from aiohttp import web
 from attrs import define, field
 
-PAGE = 500
-WATCH_STEP = 0.01
+PAGE_SIZE = 500
+WATCH_POLL_SECONDS = 0.01
 HTTP_CONFLICT = 409
 HTTP_GONE = 410
 
 
 @define
-class Faults:
-    """Faults that can be switched on.
+class StoreFaults:
+    """Faults to inject.
 
     Attributes
     ----------
     delay : float
-        Seconds before each answer.
-    down : str
+        Delay of each answer in seconds.
+    failure_mode : str
         Empty, ``busy`` (503), ``reset`` or ``silent``.
     lose_answers : int
-        Writes whose effect is kept while the answer is lost.
+        Number of writes that are applied but whose answer is lost.
     """
 
     delay: float = 0.0
-    down: str = ""
+    failure_mode: str = ""
     lose_answers: int = 0
 
 
 @define
 class ObjectStoreStandIn:
-    """The stand-in's state and handlers; counts its calls."""
+    """Objects, history and HTTP handlers of the store.
 
-    faults: Faults = field(factory=Faults)
-    page: int = PAGE
+    Attributes
+    ----------
+    calls : int
+        Number of calls received.
+    dropped_revision : int
+        Watches from before this revision are answered with 410.
+    """
+
+    faults: StoreFaults = field(factory=StoreFaults)
+    page_size: int = PAGE_SIZE
     revision: int = 0
     calls: int = 0
     objects: dict[tuple[str, str], dict[str, Any]] = field(factory=dict)
     history: list[tuple[int, str, dict[str, Any]]] = field(factory=list)
-    forgotten: int = 0
+    dropped_revision: int = 0
 
     def make_app(self) -> web.Application:
         """Return the HTTP application."""
@@ -61,18 +69,18 @@
         return app
 
     def write(self, kind: str, name: str, spec: Any) -> int:
-        """Write an object as the operator would; return its revision."""
+        """Write an object as an operator would; return its revision."""
         self.revision += 1
         meta = {"name": name, "rev": self.revision, "finalizers": []}
-        self._keep(kind, {"meta": meta, "spec": spec, "status": None})
+        self._record_object(kind, {"meta": meta, "spec": spec, "status": None})
         return self.revision
 
-    def forget_history(self) -> None:
-        """Drop all changes; watches from before get 410."""
+    def drop_history(self) -> None:
+        """Drop all recorded changes; watches from before now get 410."""
         self.history.clear()
-        self.forgotten = self.revision
+        self.dropped_revision = self.revision
 
-    def _keep(self, kind: str, item: dict[str, Any]) -> None:
+    def _record_object(self, kind: str, item: dict[str, Any]) -> None:
         self.objects[kind, item["meta"]["name"]] = item
         self.history.append((self.revision, kind, {"object": item, "deleted": False}))
 
@@ -81,7 +89,7 @@
         self.calls += 1
         if self.faults.delay:
             await asyncio.sleep(self.faults.delay)
-        match self.faults.down:
+        match self.faults.failure_mode:
             case "busy":
                 raise web.HTTPServiceUnavailable
             case "reset":
@@ -100,10 +108,10 @@
             return await self._watch(kind, request)
         after = request.query.get("after", "")
         names = sorted(n for k, n in self.objects if k == kind and n > after)
-        items = [self.objects[kind, name] for name in names[: self.page]]
+        items = [self.objects[kind, name] for name in names[: self.page_size]]
         body = {
             "items": items,
-            "truncated": len(names) > self.page,
+            "truncated": len(names) > self.page_size,
             "current_rev": self.revision,
         }
         return web.json_response(body)
@@ -112,12 +120,12 @@
         since = int(request.query["watch"])
         end = asyncio.get_running_loop().time() + int(request.query["wait_ms"]) / 1000
         while True:
-            if since < self.forgotten:
+            if since < self.dropped_revision:
                 return web.json_response({}, status=HTTP_GONE)
             events = [e for rev, k, e in self.history if k == kind and rev > since]
             if events or asyncio.get_running_loop().time() >= end:
                 break
-            await asyncio.sleep(WATCH_STEP)
+            await asyncio.sleep(WATCH_POLL_SECONDS)
         return web.json_response({"events": events, "current_rev": self.revision})
 
     async def _get(self, request: web.Request) -> web.Response:
@@ -142,8 +150,8 @@
         known = self._find(request)
         if known is None:
             return web.json_response({}, status=404)
-        wanted = body["meta"].get("rev")
-        if wanted is not None and wanted != known["meta"]["rev"]:
+        expected = body["meta"].get("rev")
+        if expected is not None and expected != known["meta"]["rev"]:
             return web.json_response(known, status=HTTP_CONFLICT)
         if body["spec"] == known["spec"]:
             return web.json_response(known)
@@ -157,8 +165,8 @@
         known = self._find(request)
         if known is None:
             return web.json_response({}, status=404)
-        wanted = request.query.get("rev")
-        if wanted is not None and int(wanted) != known["meta"]["rev"]:
+        expected = request.query.get("rev")
+        if expected is not None and int(expected) != known["meta"]["rev"]:
             return web.json_response(known, status=HTTP_CONFLICT)
         kind = request.match_info["kind"]
         self.revision += 1
--- a/shedsill/testing/platform.py
+++ b/shedsill/testing/platform.py
@@ -2,12 +2,12 @@
 
 Run it with ``python -m shedsill.testing.platform --port PORT``.
 
-``GET /objects?kinds=a,b``, ``GET|PUT|DELETE /objects/KIND/NAME`` (writes carry
-``If-Match: VERSION``), ``GET /watch?kinds=&revision=&patience=``, ``GET /vms``,
-``PUT /vms/NAME``, and ``POST /faults`` with any of ``down`` (bool), ``delay``
-(seconds), ``lose_answers`` (number of writes whose effect is kept while the
-answer is lost), ``stale_reads`` (number of lists answered from before the last
-write).
+It serves ``GET /objects?kinds=a,b``, ``GET|PUT|DELETE /objects/KIND/NAME`` (writes
+carry ``If-Match: VERSION``), ``GET /watch?kinds=&revision=&patience=``, ``GET /vms``,
+``PUT|DELETE /vms/NAME`` and ``GET /calls``.  ``POST /faults`` takes any of ``down``
+(bool), ``delay`` (seconds), ``lose_answers`` (number of writes that are applied but
+whose answer is lost) and ``stale_reads`` (number of lists answered with the state
+before the last write).
 """
 
 from __future__ import annotations
@@ -34,13 +34,13 @@
     Watch,
 )
 
-MAX_VALUE = 1_048_576
-WATCH_STEP = 0.02
+MAX_VALUE_BYTES = 1_048_576
+WATCH_POLL_SECONDS = 0.02
 
 
 @define
-class Faults:
-    """Faults that can be switched on."""
+class PlatformFaults:
+    """Faults to inject; the names are keys of ``POST /faults``."""
 
     down: bool = False
     delay: float = 0.0
@@ -50,18 +50,24 @@
 
 @define
 class PlatformStandIn:
-    """The stand-in's state and handlers; counts its calls."""
+    """Store, faults and HTTP handlers of the platform.
+
+    Attributes
+    ----------
+    calls, writes : int
+        Number of calls and of writes received.
+    """
 
     store: MemoryPlatform = field(factory=MemoryPlatform)
-    faults: Faults = field(factory=Faults)
+    faults: PlatformFaults = field(factory=PlatformFaults)
     calls: int = 0
     writes: int = 0
-    _before: Listing | None = None
+    _listing_before_write: Listing | None = None
 
     def make_app(self) -> web.Application:
         """Return the HTTP application."""
         app = web.Application(
-            client_max_size=2 * MAX_VALUE, middlewares=[self._apply_faults]
+            client_max_size=2 * MAX_VALUE_BYTES, middlewares=[self._apply_faults]
         )
         app.router.add_get("/objects", self._list)
         app.router.add_get("/objects/{kind}/{name}", self._get)
@@ -90,26 +96,26 @@
         kinds = tuple(request.query["kinds"].split(","))
         listing = self.store.apply(List(kinds=kinds))
         assert isinstance(listing, Listing)
-        if self.faults.stale_reads > 0 and self._before is not None:
+        if self.faults.stale_reads > 0 and self._listing_before_write is not None:
             self.faults.stale_reads -= 1
-            listing = self._before
-        items = [_show(item) for item in listing.objects if item.kind in kinds]
+            listing = self._listing_before_write
+        items = [_encode_object(item) for item in listing.objects if item.kind in kinds]
         return web.json_response({"items": items, "revision": listing.revision})
 
     async def _get(self, request: web.Request) -> web.Response:
         found = self.store.apply(Get(**request.match_info))
         assert isinstance(found, Found)
-        shown = _show(found.object) if found.object else None
+        shown = _encode_object(found.object) if found.object else None
         return web.json_response({"object": shown})
 
     async def _write(self, request: web.Request) -> web.Response:
         body = await request.read()
-        if len(body) > MAX_VALUE:
-            raise web.HTTPRequestEntityTooLarge(MAX_VALUE, len(body))
+        if len(body) > MAX_VALUE_BYTES:
+            raise web.HTTPRequestEntityTooLarge(MAX_VALUE_BYTES, len(body))
         expected = int(request.headers.get("If-Match", "0"))
         target = dict(request.match_info)
         self.writes += 1
-        self._before = self._snapshot()
+        self._listing_before_write = self._snapshot()
         if request.method == "PUT":
             value = await request.json()
             outcome = self.store.apply(Put(**target, value=value, expected=expected))
@@ -123,7 +129,7 @@
             case Stored(version=version):
                 return web.json_response({"version": version})
             case Conflict(current=current):
-                shown = _show(current) if current else None
+                shown = _encode_object(current) if current else None
                 return web.json_response({"current": shown}, status=409)
         raise web.HTTPInternalServerError
 
@@ -141,7 +147,7 @@
         end = loop.time() + call.patience
         changed = self.store.apply(call)
         while not changed.names and loop.time() < end and not self.faults.down:
-            await asyncio.sleep(WATCH_STEP)
+            await asyncio.sleep(WATCH_POLL_SECONDS)
             changed = self.store.apply(call)
         if self.faults.down:
             raise web.HTTPServiceUnavailable(text="down")
@@ -162,8 +168,8 @@
 
     async def _delete_machine(self, request: web.Request) -> web.Response:
         name = request.match_info["name"]
-        kept = tuple(m for m in self.store.machines if m.name != name)
-        self.store.machines = kept
+        remaining = tuple(m for m in self.store.machines if m.name != name)
+        self.store.machines = remaining
         return web.json_response({})
 
     async def _set_faults(self, request: web.Request) -> web.Response:
@@ -175,7 +181,7 @@
         return web.json_response({"calls": self.calls, "writes": self.writes})
 
 
-def _show(item: StoredObject) -> dict[str, Any]:
+def _encode_object(item: StoredObject) -> dict[str, Any]:
     return {
         "kind": item.kind,
         "name": item.name,
@@ -188,7 +194,7 @@
 @click.option("--host", default="127.0.0.1", show_default=True)
 @click.option("--port", type=int, required=True)
 def main(host: str, port: int) -> None:
-    """Run the platform stand-in."""
+    """Serve the platform's object API, kept in memory, until interrupted."""
     web.run_app(PlatformStandIn().make_app(), host=host, port=port, print=None)
 
 
--- a/shedsill/tests/test_platform_processes.py
+++ b/shedsill/tests/test_platform_processes.py
@@ -32,7 +32,7 @@
                 await deployment.start_balancer(host)
             for host in (*AGENTS, *BALANCERS):
                 await deployment.wait_ready(host)
-            await deployment.wait_known()
+            await deployment.wait_agents_known()
             await scenario(deployment)
             assert deployment.errors == []
 
@@ -43,10 +43,10 @@
     async def scenario(deployment: Deployment) -> None:
         services = ("dispatcher", "intake") * 6
         callers = [
-            deployment.call(service, BALANCERS[n % 2])
+            deployment.add_caller(service, BALANCERS[n % 2])
             for n, service in enumerate(services)
         ]
-        await deployment.settle(callers)
+        await deployment.wait_for_outcomes(callers)
         assert {caller.outcome for caller in callers} == {"answered"}
         await asyncio.sleep(0.2)
         lines = deployment.read_log(B1) + deployment.read_log(B2)
@@ -60,14 +60,14 @@
     tmp_path: pathlib.Path,
 ) -> None:
     async def scenario(deployment: Deployment) -> None:
-        callers = [deployment.call("dispatcher", B1) for _ in range(4)]
-        while not all(caller.open for caller in callers):
+        callers = [deployment.add_caller("dispatcher", B1) for _ in range(4)]
+        while not all(caller.is_open for caller in callers):
             await asyncio.sleep(0.001)
         for host in (*AGENTS, *BALANCERS):
             await deployment.kill(host)
         for host in (*AGENTS, *BALANCERS):
             await deployment.restart(host)
-        await deployment.settle(callers, 15.0)
+        await deployment.wait_for_outcomes(callers, 15.0)
         assert {caller.outcome for caller in callers} == {"answered"}
 
     run_scenario(tmp_path, scenario)
@@ -75,8 +75,8 @@
 
 def test_planned_stop_exits_with_0_and_loses_no_flow(tmp_path: pathlib.Path) -> None:
     async def scenario(deployment: Deployment) -> None:
-        callers = [deployment.call("dispatcher", B1) for _ in range(4)]
-        while not all(caller.open for caller in callers):
+        callers = [deployment.add_caller("dispatcher", B1) for _ in range(4)]
+        while not all(caller.is_open for caller in callers):
             await asyncio.sleep(0.001)
 
         async def restart_agent() -> int:
@@ -88,8 +88,8 @@
         codes = await asyncio.gather(deployment.stop(B1), restart_agent())
         assert codes == [0, 0]
         for caller in callers:
-            deployment.routers[caller.flow] = B2
-        await deployment.settle(callers)
+            deployment.balancer_by_flow[caller.flow] = B2
+        await deployment.wait_for_outcomes(callers)
         assert {caller.outcome for caller in callers} == {"answered"}
 
     run_scenario(tmp_path, scenario)
@@ -99,15 +99,15 @@
     tmp_path: pathlib.Path,
 ) -> None:
     async def scenario(deployment: Deployment) -> None:
-        deployment.store.faults.down = "busy"
-        callers = [deployment.call("dispatcher", B1) for _ in range(4)]
-        await deployment.settle(callers)
+        deployment.store.faults.failure_mode = "busy"
+        callers = [deployment.add_caller("dispatcher", B1) for _ in range(4)]
+        await deployment.wait_for_outcomes(callers)
         await deployment.drain_upstream(A1, "dispatcher")
-        late = [deployment.call("dispatcher", B2) for _ in range(6)]
-        await deployment.settle(late)
+        late = [deployment.add_caller("dispatcher", B2) for _ in range(6)]
+        await deployment.wait_for_outcomes(late)
         outcomes = {caller.outcome for caller in (*callers, *late)}
         assert outcomes == {"answered"}
-        assert not any(c.flow in deployment.upstreams[A1].runs for c in late)
+        assert not any(c.flow in deployment.upstreams[A1].processed_flows for c in late)
 
     run_scenario(tmp_path, scenario)
 
@@ -117,7 +117,7 @@
 
     async def scenario(deployment: Deployment) -> None:
         deployment.change_settings(B1, seeds=["127.0.1.2:99"])
-        deployment.nodes[B1].signal(signal.SIGHUP)
+        deployment.nodes[B1].send_signal(signal.SIGHUP)
         deployment.change_settings(B2, seeds=["127.0.1.1:99"])
         deployment.change_settings(A1, app="nowhere")
         expected_events = {
@@ -129,9 +129,9 @@
             for host, name in expected_events.items():
                 while name not in {line["name"] for line in deployment.read_log(host)}:
                     await asyncio.sleep(0.05)
-        assert all(node.running for node in deployment.nodes.values())
-        callers = [deployment.call("dispatcher", B1) for _ in range(4)]
-        await deployment.settle(callers)
+        assert all(node.is_running for node in deployment.nodes.values())
+        callers = [deployment.add_caller("dispatcher", B1) for _ in range(4)]
+        await deployment.wait_for_outcomes(callers)
         assert {caller.outcome for caller in callers} == {"answered"}
 
     run_scenario(tmp_path, scenario)
--- a/shedsill/tests/test_platform_store.py
+++ b/shedsill/tests/test_platform_store.py
@@ -92,7 +92,7 @@
 
 def test_list_of_several_pages_is_complete() -> None:
     async def scenario(stand_in: ObjectStoreStandIn, store: ObjectStore) -> None:
-        stand_in.page = 3
+        stand_in.page_size = 3
         for number in range(8):
             stand_in.write(KIND, f"o{number}", {"n": number})
         listing = await store.call(List(kinds=(KIND,)))
@@ -121,7 +121,7 @@
 def test_watch_from_compacted_revision_is_history_gone() -> None:
     async def scenario(stand_in: ObjectStoreStandIn, store: ObjectStore) -> None:
         await put(store, "a")
-        stand_in.forget_history()
+        stand_in.drop_history()
         watch = Watch(kinds=(KIND,), revision=0, patience=1.0)
         assert await store.call(watch) == HistoryGone()
 
@@ -136,7 +136,7 @@
         )
         assert isinstance(await anext(outcomes), Listing)
         await put(store, "b")
-        stand_in.forget_history()
+        stand_in.drop_history()
         listing = await anext(outcomes)
         assert isinstance(listing, Listing) and len(listing.objects) == 2
         await outcomes.aclose()
@@ -151,9 +151,9 @@
     monkeypatch.setattr(store_module, "CALL_TIMEOUT_SECONDS", 0.1)
 
     async def scenario(stand_in: ObjectStoreStandIn, store: ObjectStore) -> None:
-        stand_in.faults.down = down
+        stand_in.faults.failure_mode = down
         assert isinstance(await store.call(Get(kind=KIND, name="a")), Unavailable)
-        stand_in.faults.down = ""
+        stand_in.faults.failure_mode = ""
         assert await store.call(Get(kind=KIND, name="a")) == Found(object=None)
 
     run_scenario(scenario)
@@ -237,10 +237,10 @@
         stand_in.write(REPORT_KIND, REPORT.host, {"old": True})
         read = []
         writer = create_writer(store, lambda *call: read.append(call))
-        stand_in.faults.down = "busy"
+        stand_in.faults.failure_mode = "busy"
         await writer.read_earlier_report(REPORT.host)
         assert read == []
-        stand_in.faults.down = ""
+        stand_in.faults.failure_mode = ""
         writer.store(REPORT)
         await wait_until_written(writer)
         assert read == [({"old": True}, False)]
@@ -254,11 +254,11 @@
         stand_in.faults.lose_answers = 1
         writer.store(REPORT)
         await wait_until_written(writer)
-        stand_in.faults.down = "busy"
+        stand_in.faults.failure_mode = "busy"
         writer.remove(REPORT)
         await asyncio.sleep(0.2)
         assert (REPORT_KIND, REPORT.host) in stand_in.objects
-        stand_in.faults.down = ""
+        stand_in.faults.failure_mode = ""
         await wait_until_written(writer)
         assert (REPORT_KIND, REPORT.host) not in stand_in.objects
 
@@ -317,10 +317,10 @@
             store, KIND, sleep=asyncio.sleep, get_timeout=lambda: 0.05
         )
         assert isinstance(await anext(outcomes), Listing)
-        stand_in.faults.down = "silent"
+        stand_in.faults.failure_mode = "silent"
         waiting = asyncio.ensure_future(anext(outcomes))
         await asyncio.sleep(0.02)
-        stand_in.faults.down = ""
+        stand_in.faults.failure_mode = ""
         await put(store, "b")
         assert isinstance(await waiting, Unavailable)
         changed = await anext(outcomes)
