--- a/shedsill/_cli/daemons.py
+++ b/shedsill/_cli/daemons.py
@@ -92,7 +92,7 @@
         name=settings["name"],
         address=read_address("--address", settings["address"]),
         incarnation=draw_incarnation(),
-        seeds=read_addresses("--peers", settings["peers"]),
+        seed_addresses=read_addresses("--peers", settings["peers"]),
         zone=settings["zone"],
         service_host=settings["service_host"],
         lease_time=check_number("--lease-time", settings["lease_time"], 0.2, 3600),
@@ -208,7 +208,7 @@
         service=settings["service"],
         address=read_address("--address", settings["address"]),
         incarnation=draw_incarnation(),
-        seeds=read_addresses("--peers", settings["peers"]),
+        seed_addresses=read_addresses("--peers", settings["peers"]),
         zone=settings["zone"],
         settings=AgentSettings(
             handshake_rate=read_rate("--handshake-rate", settings["handshake_rate"]),
--- a/shedsill/http3/_agent.py
+++ b/shedsill/http3/_agent.py
@@ -10,7 +10,7 @@
     record_upstream_load,
     update_breaker,
 )
-from shedsill.http3._agent_state import AgentState, get_vitals
+from shedsill.http3._agent_state import AgentState, get_heartbeat_payload
 from shedsill.http3._configuration import Configuration
 from shedsill.http3._drain import (
     advance_drain,
@@ -74,7 +74,7 @@
     state, moves = replace_silent_reply_paths(state, event.now)
     probed = sorted(state.reply_paths)[:MAX_PROBED_PATHS]
     node, beats = send_heartbeats(
-        state.node, get_vitals(state), probed, now=event.now, seed=event.seed
+        state.node, get_heartbeat_payload(state), probed, now=event.now, seed=event.seed
     )
     return evolve(state, node=node), moves + beats
 
@@ -165,7 +165,7 @@
         state = record_reply_path(state, event.source, event.now, passed=False)
     if not frame.probe:
         return state, []
-    answer = make_probe_answer(state.node, get_vitals(state))
+    answer = make_probe_answer(state.node, get_heartbeat_payload(state))
     return state, [Send(destination=event.source, frame=answer)]
 
 
--- a/shedsill/http3/_agent_state.py
+++ b/shedsill/http3/_agent_state.py
@@ -171,7 +171,7 @@
     )
 
 
-def get_vitals(state: AgentState) -> HeartbeatPayload:
+def get_heartbeat_payload(state: AgentState) -> HeartbeatPayload:
     """Return what heartbeats say of this agent."""
     return HeartbeatPayload(
         service=state.service, upstream=state.upstream, load=get_load(state)
--- a/shedsill/http3/_flows.py
+++ b/shedsill/http3/_flows.py
@@ -61,7 +61,7 @@
         if (route.upstream, route.service) != (state.upstream, state.service):
             continue
         if route.incarnation == state.incarnation:
-            return state, [_deliver(frame, reply_to, fresh=False)]
+            return state, [_deliver(frame, reply_to, can_open_connection=False)]
         return state, _reset_flow(packet, frame, reply_to)
     if packet.kind != PacketKind.INITIAL:
         fields = {"octets": len(frame.datagram)}
@@ -69,12 +69,14 @@
     return _handle_new_flow(state, event, frame, packet, reply_to)
 
 
-def _deliver(frame: ToUpstream, reply_to: Address, *, fresh: bool) -> Deliver:
+def _deliver(
+    frame: ToUpstream, reply_to: Address, *, can_open_connection: bool
+) -> Deliver:
     return Deliver(
         caller=frame.caller,
         datagram=frame.datagram,
         reply_to=reply_to,
-        can_open_connection=fresh,
+        can_open_connection=can_open_connection,
     )
 
 
@@ -126,7 +128,7 @@
 ) -> Step:
     """Do as before; but a flow passed on in vain is kept here in the end."""
     if decision.upstream == state.upstream:
-        return state, [_deliver(frame, reply_to, fresh=True)]
+        return state, [_deliver(frame, reply_to, can_open_connection=True)]
     if frame.passed:
         # Two agents that each chose the other would hand it to and fro for ever.
         return _place_flow(state, event, frame, packet, reply_to)
@@ -220,7 +222,7 @@
     state = _record_decision(state, packet, state.upstream, event.now)
     fields = {"caller": str(frame.caller), "flows": state.flow_count}
     note = WriteLog(event=LogEvent.FLOW_KEPT, fields=fields)
-    return state, [note, _deliver(frame, reply_to, fresh=True)]
+    return state, [note, _deliver(frame, reply_to, can_open_connection=True)]
 
 
 def _find_other(state: AgentState, packet: PacketHeader) -> AcceptedUpstream | None:
--- a/shedsill/http3/_runtime/agent.py
+++ b/shedsill/http3/_runtime/agent.py
@@ -104,7 +104,7 @@
     service: str
     address: Address
     incarnation: int
-    seeds: tuple[Address, ...] = ()
+    seed_addresses: tuple[Address, ...] = ()
     zone: str = ""
     settings: AgentSettings
     admission: AdmissionSettings
@@ -118,7 +118,7 @@
         address=options.address,
         balancer=False,
         incarnation=options.incarnation,
-        seed_addresses=options.seeds,
+        seed_addresses=options.seed_addresses,
     )
     return AgentState(
         node=node,
--- a/shedsill/http3/_runtime/balancer.py
+++ b/shedsill/http3/_runtime/balancer.py
@@ -45,7 +45,7 @@
     name: str
     address: Address
     incarnation: int
-    seeds: tuple[Address, ...] = ()
+    seed_addresses: tuple[Address, ...] = ()
     zone: str = ""
     service_host: str = ""
     lease_time: float = LEASE_SECONDS
@@ -60,7 +60,7 @@
         address=options.address,
         balancer=True,
         incarnation=options.incarnation,
-        seed_addresses=options.seeds,
+        seed_addresses=options.seed_addresses,
     )
     lease = Lease(
         kind=LEASE_KIND,
