--- a/shedsill/http3/_admission.py
+++ b/shedsill/http3/_admission.py
@@ -1,8 +1,8 @@
-"""How many requests one upstream works on, and which wait.
+"""Admission control for the requests of one upstream.
 
-Two limits hold per upstream: slots, for requests that are work, and
-connections, for streams.  What waits is bounded per request class, so that no
-class starves another, and what cannot start in time is refused at once.
+Two limits apply per upstream: slots for ordinary requests and connections for
+streams.  The queue is bounded per request class, so that no class starves another,
+and a request that would not start before its deadline is refused at once.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 from shedsill.http3._outcomes import IssuerKey
 from shedsill.http3._resources import RequestClass, RequestKind
 
-SERVICE_TIME_SMOOTHING = 0.1
+SERVICE_TIME_SMOOTHING = 0.1  # weight of the newest sample
 MAX_RETRY_AFTER_SECONDS = 60
 RETRY_AFTER_JITTER_RATIO = 0.5
-MAX_RETRY_BUDGET = 10.0
+MAX_RETRY_BUDGET = 10.0  # retries that can be saved up
 
 
 class RequestPhase(enum.Enum):
-    """Where a request stands."""
+    """Phase of a request: joined ones wait for another request's outcome."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -33,25 +33,29 @@
 
 @frozen(kw_only=True)
 class Request:
-    """One request that the agent has not answered yet.
+    """A request that the agent has not answered yet.
 
     Attributes
     ----------
     number, flow, stream : int
         See `shedsill.http3._events.RequestArrived`.
+    body_complete : bool
+        Whether the whole body had arrived before the request was handled.
     expires_at : float
         Local time by which it has to be answered; infinite for streams.
-    issuer, ticket_number : IssuerKey or None, int
-        Where its outcome is recorded.
     ticket : str
-        The ticket that its answer will carry for a later request.
+        Ticket that its answer carries, for use by a later request.
+    issuer, ticket_number : IssuerKey or None, int
+        Key under which its outcome is recorded.
     started_at : float
         Local time at which it was sent to the upstream.
     retried, sent : bool
         Whether this is the second attempt, and whether a byte of the first
         may have reached the upstream.
     answer_started : bool
-        Whether part of the answer has gone to the caller.
+        Whether part of the answer has been sent to the caller.
+    hops : int
+        How often it was forwarded to another agent.
     """
 
     number: int
@@ -74,27 +78,27 @@
 
     @property
     def needs_slot(self) -> bool:
-        """Whether the request takes a slot while it runs."""
+        """Whether the request occupies a slot while it runs."""
         return self.request_class.kind == RequestKind.SLOT
 
 
 @frozen(kw_only=True)
 class AdmissionSettings:
-    """Settings of an agent's admission.
+    """Settings of an agent's admission control.
 
     Attributes
     ----------
     cancel_grace : float
-        Seconds for which a slot stays taken after its request was aborted.
+        Seconds for which a slot stays occupied after its request was aborted.
     idle_span : float
-        Seconds for which the upstream must be seen idle after a start before
-        slots are used; the longest deadline at most.
+        Seconds for which the upstream must report no load after a start before
+        its slots are used; at most the longest deadline.
     breaker_failures : int
-        Failures in a row after which the upstream gets no new work.
+        Consecutive failures after which the circuit breaker opens.
     breaker_pause : float
-        Seconds before one request tries it again.
+        Seconds before the open breaker lets one trial request through.
     retry_share : float
-        Second attempts allowed for each first one.
+        Retries allowed per first attempt.
     """
 
     cancel_grace: float = 0.2
@@ -105,7 +109,7 @@
 
 
 class BreakerState(enum.Enum):
-    """Whether new work goes to the upstream."""
+    """State of the circuit breaker."""
 
     CLOSED = "closed"
     OPEN = "open"
@@ -114,7 +118,7 @@
 
 @frozen(kw_only=True)
 class Breaker:
-    """Counts failures in a row; `open_until` is the end of the pause."""
+    """Circuit breaker; `failures` counts consecutive failures."""
 
     state: BreakerState = BreakerState.CLOSED
     failures: int = 0
@@ -123,22 +127,24 @@
 
 @frozen(kw_only=True)
 class Admission:
-    """The state of one upstream's admission.
+    """Admission state of one upstream.
 
     Attributes
     ----------
     queue : tuple of int
         Numbers of the requests that wait for a slot, oldest first.
+    running, streams : int
+        Requests that occupy a slot, and open streams.
     slot_release_times : tuple of float
-        Local times at which slots of aborted requests become free.
+        Local times at which the slots of aborted requests become free.
     slots_available_at : float
-        Local time until which no slot is used after a start.
+        Local time before which no slot is used after a start.
     idle_since : float or None
-        Local time since which the upstream has shown itself idle.
+        Local time since which the upstream reports no load.
     service_time : float
-        Smoothed seconds that a request takes a slot.
+        Moving average of the seconds for which a request occupies a slot.
     retry_budget : float
-        Second attempts that first ones have paid for.
+        Retries that are currently allowed.
     """
 
     settings: AdmissionSettings = field(factory=AdmissionSettings)
@@ -158,7 +164,7 @@
 
 
 class AdmissionDecision(enum.Enum):
-    """What to do with a request that has just arrived."""
+    """What to do with a new request."""
 
     START = "start"
     QUEUE = "queue"
@@ -167,14 +173,14 @@
 
 @frozen(kw_only=True)
 class AdmissionResult:
-    """A decision and, for a refusal, its reason."""
+    """A decision, with a reason if the request is refused."""
 
     decision: AdmissionDecision
     reason: str = ""
 
 
 def count_free_slots(admission: Admission, now: float) -> int:
-    """Return how many slots can be taken now."""
+    """Return the number of slots that can be used now."""
     if now < admission.slots_available_at:
         return 0
     releasing = sum(1 for end in admission.slot_release_times if end > now)
@@ -187,13 +193,12 @@
 def decide_admission(
     admission: Admission, request: Request, class_count: int, now: float
 ) -> AdmissionResult:
-    """Decide on one request.
+    """Decide whether to start, queue or refuse a request.
 
     Parameters
     ----------
     class_count : int
-        Number of request classes of the service; each may fill its share of
-        the queue.
+        Number of request classes of the service, which share the queue equally.
     """
     if is_breaker_blocking(admission, now):
         return AdmissionResult(
@@ -235,20 +240,20 @@
 
 
 def estimate_wait(admission: Admission, now: float) -> float:
-    """Return the seconds that a request at the end of the queue would wait."""
-    held = max(admission.slots_available_at - now, 0.0)
+    """Estimate the seconds that a request at the end of the queue would wait."""
+    startup_wait = max(admission.slots_available_at - now, 0.0)
     if admission.idle_since is not None:
-        proof = admission.idle_since + admission.settings.idle_span - now
-        held = min(held, max(proof, 0.0))
+        idle_wait = admission.idle_since + admission.settings.idle_span - now
+        startup_wait = min(startup_wait, max(idle_wait, 0.0))
     rounds = (len(admission.queue) + 1) / max(admission.slots, 1)
-    return held + rounds * admission.service_time
+    return startup_wait + rounds * admission.service_time
 
 
 def get_retry_after(admission: Admission, now: float, seed: int) -> int:
-    """Return whole seconds after which a refused caller may come back.
+    """Return the whole seconds after which a refused caller may retry.
 
-    Worked out from how fast the queue drains, and jittered, so that refused
-    callers do not return together.
+    Based on the estimated wait, with jitter, so that refused callers do not return
+    at the same time.
 
     Examples
     --------
@@ -263,19 +268,19 @@
 
 
 def choose_next_request(admission: Admission, now: float) -> int | None:
-    """Return the queued request to start: the class with least at work first."""
+    """Return the queued request to start, of the class with the fewest running."""
     if not admission.queue or count_free_slots(admission, now) <= 0:
         return None
-    at_work: dict[str, int] = {}
+    running_by_class: dict[str, int] = {}
     for request in admission.requests.values():
         if request.phase == RequestPhase.RUNNING and request.needs_slot:
             name = request.request_class.name
-            at_work[name] = at_work.get(name, 0) + 1
+            running_by_class[name] = running_by_class.get(name, 0) + 1
 
-    def weigh(number: int) -> int:
-        return at_work.get(admission.requests[number].request_class.name, 0)
+    def count_running(number: int) -> int:
+        return running_by_class.get(admission.requests[number].request_class.name, 0)
 
-    return min(admission.queue, key=weigh)
+    return min(admission.queue, key=count_running)
 
 
 def put_request(admission: Admission, request: Request) -> Admission:
@@ -285,13 +290,13 @@
 
 
 def queue_request(admission: Admission, request: Request) -> Admission:
-    """Put a request at the end of the queue."""
+    """Append a request to the queue."""
     admission = put_request(admission, evolve(request, phase=RequestPhase.QUEUED))
     return evolve(admission, queue=(*admission.queue, request.number))
 
 
 def start_request(admission: Admission, request: Request, now: float) -> Admission:
-    """Count a request as running."""
+    """Remove a request from the queue and count it as running."""
     queue = tuple(n for n in admission.queue if n != request.number)
     earned = 0.0 if request.retried else admission.settings.retry_share
     admission = evolve(
@@ -309,9 +314,9 @@
 def drop_request(
     admission: Admission, request: Request, now: float, *, aborted: bool = False
 ) -> Admission:
-    """Take a request out; an aborted one keeps its slot for the grace time.
+    """Remove a request; the slot of an aborted one stays occupied for a grace time.
 
-    Dropping a request that is no longer there changes nothing.
+    Does nothing if the request was removed before.
     """
     known = admission.requests.get(request.number)
     if known is None:
@@ -336,7 +341,7 @@
 def update_service_time(
     admission: Admission, request: Request, now: float
 ) -> Admission:
-    """Take in how long a finished request held its slot."""
+    """Update the average service time with that of a finished request."""
     if not request.needs_slot:
         return admission
     elapsed = now - request.started_at
@@ -347,7 +352,7 @@
 
 
 def is_breaker_blocking(admission: Admission, now: float) -> bool:
-    """Whether the upstream gets no new work because it fails."""
+    """Whether the circuit breaker blocks new requests."""
     breaker = admission.breaker
     match breaker.state:
         case BreakerState.OPEN:
@@ -359,11 +364,11 @@
 
 
 def record_failure(admission: Admission, now: float) -> Admission:
-    """Count a failure of the upstream; maybe open the breaker."""
+    """Count a failure of the upstream, which may open the circuit breaker."""
     settings = admission.settings
     failures = admission.breaker.failures + 1
-    trying = admission.breaker.state == BreakerState.HALF_OPEN
-    if failures < settings.breaker_failures and not trying:
+    half_open = admission.breaker.state == BreakerState.HALF_OPEN
+    if failures < settings.breaker_failures and not half_open:
         return evolve(admission, breaker=Breaker(failures=failures))
     breaker = Breaker(
         state=BreakerState.OPEN,
@@ -374,14 +379,14 @@
 
 
 def record_success(admission: Admission) -> Admission:
-    """Close the breaker."""
+    """Close the circuit breaker."""
     if admission.breaker == Breaker():
         return admission
     return evolve(admission, breaker=Breaker())
 
 
 def update_breaker(admission: Admission, now: float) -> Admission:
-    """After the pause let one request try the upstream."""
+    """Half-open the circuit breaker once its pause is over."""
     breaker = admission.breaker
     if breaker.state == BreakerState.OPEN and now >= breaker.open_until:
         breaker = evolve(breaker, state=BreakerState.HALF_OPEN)
@@ -390,7 +395,7 @@
 
 
 def take_retry(admission: Admission) -> tuple[Admission, bool]:
-    """Take one retry from the budget, if first attempts have paid for it."""
+    """Take one retry from the budget, if there is one."""
     left = admission.retry_budget
     if left < 1.0:
         return admission, False
@@ -398,11 +403,11 @@
 
 
 def record_upstream_load(admission: Admission, busy: int, now: float) -> Admission:
-    """Take in a reading of the upstream's load endpoint.
+    """Record a response of the upstream's load endpoint.
 
-    It may lag or mislead, so it counts for one thing only: an upstream that
-    shows itself idle for a while after this agent's start has nothing left of
-    what an earlier agent sent.
+    The endpoint is not trusted for admission.  It only ends the wait after a start:
+    an upstream that has been idle for `idle_span` seconds has finished the requests
+    of the previous agent process.
     """
     if now >= admission.slots_available_at:
         return admission
--- a/shedsill/http3/_agent.py
+++ b/shedsill/http3/_agent.py
@@ -1,4 +1,4 @@
-"""The agent's share of the reducer: ticks, configuration and frames."""
+"""Agent handlers for ticks, configurations, frames and flow events."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
 
 
 def handle_tick(state: AgentState, event: Tick) -> Step:
-    """Do what time brings: deadlines, retries, drains and heartbeats."""
+    """Process deadlines, queued requests, heartbeats and the drain."""
     state = evolve(state, admission=update_breaker(state.admission, event.now))
     state, effects = expire_requests(state, event.now, event.seed)
     state, more = start_queued_requests(state, event.now, event.seed)
@@ -71,16 +71,16 @@
         return state, []
     state = drop_expired_decisions(state, event.now)
     state = evolve(state, outcomes=drop_expired_records(state.outcomes, event.now))
-    state, moves = replace_silent_reply_paths(state, event.now)
+    state, path_effects = replace_silent_reply_paths(state, event.now)
     probed = sorted(state.reply_paths)[:MAX_PROBED_PATHS]
-    node, beats = send_heartbeats(
+    node, heartbeats = send_heartbeats(
         state.node, get_heartbeat_payload(state), probed, now=event.now, seed=event.seed
     )
-    return evolve(state, node=node), moves + beats
+    return evolve(state, node=node), path_effects + heartbeats
 
 
 def handle_configuration(state: AgentState, event: ConfigurationOffered) -> Step:
-    """Apply a newer configuration to identity, limits and drain."""
+    """Apply a newer configuration to the agent's identity, limits and drain."""
     node, effects = apply_newer_configuration(state.node, event.configuration)
     if node.configuration is state.node.configuration:
         return evolve(state, node=node), effects
@@ -96,7 +96,7 @@
 def _identify(
     state: AgentState, configuration: Configuration, now: float
 ) -> AgentState:
-    """Find this agent's numbers and limits in the configuration."""
+    """Update this agent's numbers and limits from the configuration."""
     own = [
         upstream
         for upstream in configuration.upstreams
@@ -138,13 +138,16 @@
 
 
 def get_longest_deadline(service: Service) -> float:
-    """Return the seconds after which nothing an earlier agent sent can run."""
+    """Return the longest deadline of the service's requests, in seconds.
+
+    Requests that a previous agent process sent cannot run for longer.
+    """
     deadlines = [c.deadline for c in service.classes if c.kind == RequestKind.SLOT]
     return max([*deadlines, DEFAULT_DEADLINE_SECONDS])
 
 
 def handle_frame(state: AgentState, event: FrameReceived) -> Step:
-    """Take in a frame from a balancer or another agent."""
+    """Handle a frame from a balancer or another agent."""
     node, effects = handle_gossip(state.node, event.frame, event.source, event.now)
     state = evolve(state, node=node)
     match event.frame:
@@ -170,14 +173,14 @@
 
 
 def handle_stop(state: AgentState, event: StopRequested) -> Step:
-    """Begin a planned stop of the process."""
+    """Start a planned stop of the process."""
     state = evolve(state, node=evolve(state.node, stopping=True))
-    note = WriteLog(event=LogEvent.NODE_STOPPING, fields={"flows": state.flow_count})
+    log = WriteLog(event=LogEvent.NODE_STOPPING, fields={"flows": state.flow_count})
     if state.drain is not None:
         state = evolve(state, drain=evolve(state.drain, drained=False))
-        return state, [note]
+        return state, [log]
     state, effects = start_drain(state, event.now)
-    return state, [note, *effects]
+    return state, [log, *effects]
 
 
 def handle_flow_opened(state: AgentState, event: FlowOpened) -> Step:
@@ -195,11 +198,11 @@
 
 
 def handle_upstream_load(state: AgentState, event: UpstreamLoadRead) -> Step:
-    """Take in a reading of the upstream's load endpoint."""
-    was_held = event.now < state.admission.slots_available_at
+    """Handle a response of the upstream's load endpoint."""
+    slots_were_held = event.now < state.admission.slots_available_at
     admission = record_upstream_load(state.admission, event.busy, event.now)
     state = evolve(state, admission=admission)
-    if not was_held or event.now < admission.slots_available_at:
+    if not slots_were_held or event.now < admission.slots_available_at:
         return state, []
     state, effects = start_queued_requests(state, event.now, 0)
     fields = {"slots": count_free_slots(admission, event.now)}
@@ -207,11 +210,11 @@
 
 
 def handle_handover(state: AgentState, event: HandoverReceived) -> Step:
-    """Answer for a leaver's tickets from now on."""
+    """Take over the outcome records of a draining agent."""
     outcomes = state.outcomes
     for transfer in event.transfers:
         outcomes = merge_transfer(outcomes, transfer, event.now)
     count = sum(len(transfer.records) for transfer in event.transfers)
     state = evolve(state, outcomes=outcomes)
-    note = WriteLog(event=LogEvent.OUTCOMES_TAKEN, fields={"records": count})
-    return state, [note]
+    log = WriteLog(event=LogEvent.OUTCOMES_TAKEN, fields={"records": count})
+    return state, [log]
--- a/shedsill/http3/_agent_state.py
+++ b/shedsill/http3/_agent_state.py
@@ -1,4 +1,4 @@
-"""The state of an agent, as one value."""
+"""State of an agent, as one immutable value."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 
 @frozen(kw_only=True)
 class AgentSettings:
-    """Settings of an agent's decisions.
+    """Settings of an agent.
 
     Attributes
     ----------
     handshake_rate : Rate
-        Above this rate of new flows, callers must prove their address (Retry).
+        Rate of new flows above which callers must validate their address (Retry).
     slow_start : float
         Seconds over which a new agent's share of new flows grows.
     handover_attempts : int
-        How often a leaver offers its record before it leaves without.
+        How often a draining agent offers its outcome records to its successor
+        before it stops without a handover.
     drain_limit : float
-        Seconds after which a planned stop ends although flows remain; 0 for
-        no limit.
+        Seconds after which a drain ends although flows remain; 0 for no limit.
     """
 
     handshake_rate: Rate = field(factory=lambda: Rate(per_second=100.0, burst=200.0))
@@ -41,12 +41,12 @@
 
 @frozen(kw_only=True)
 class PlacementDecision:
-    """What was decided for a caller's first connection ID.
+    """Placement of the flow with a given initial connection ID.
 
     Attributes
     ----------
     upstream : int
-        Number of the upstream that takes the flow.
+        Number of the upstream that gets the flow.
     decided_at : float
         Local time of the decision.
     """
@@ -57,16 +57,16 @@
 
 @frozen(kw_only=True)
 class PeerLoad:
-    """The freshest report of another upstream's load.
+    """Newest load report of another upstream.
 
     Attributes
     ----------
     reported_at : float
-        Local time at which some balancer heard it.
+        Local time at which a balancer received the report.
     own_flows : int
-        Flows of this agent when it learned of the report.
+        Flows of this agent when it received the report.
     forwarded_flows : int
-        Flows that this agent has passed on to it since.
+        Flows that this agent has forwarded to the upstream since.
     """
 
     load: Load
@@ -77,18 +77,22 @@
 
 @frozen(kw_only=True)
 class DrainProgress:
-    """How far a drain has come.
+    """Progress of a drain.
 
     Attributes
     ----------
     started_at : float
-        Local time at which it began.
+        Local time at which the drain started.
+    successor : int
+        Number of the upstream that takes the outcome records over; 0 for none.
     pending_transfers : tuple of Transfer
-        Records that the successor has not yet taken.
+        Records that the successor has not confirmed yet.
+    handover_prepared : bool
+        Whether all flows have ended and the records are ready for the handover.
     last_offer_at, offers_made : float, int
-        When the record was last offered, and how often.
+        When the records were last offered, and how often.
     drained : bool
-        Whether no flow is left and the record is handed over.
+        Whether the drain is complete.
     """
 
     started_at: float
@@ -102,28 +106,30 @@
 
 @frozen(kw_only=True)
 class AgentState:
-    """Everything an agent knows.
+    """State of an agent.
 
     Attributes
     ----------
     upstream_name, service_name : str
-        From the settings; the numbers come from the configuration.
+        Names from the settings; the configuration maps them to numbers.
     upstream, service : int
-        0 while the configuration does not name this agent.
+        0 while the configuration does not list this agent.
     flow_count : int
-        Open connections.
+        Number of open connections.
     slow_start_at : float
-        Local time from which slow start counts.
+        Local time at which slow start began.
     decisions : Map
-        What was decided for callers' first connection IDs, for some seconds.
+        Recent placement decisions, by initial connection ID.
     peer_loads : Map
         Loads of other upstreams, by number.
     reply_paths : Map
-        Balancers that delivered datagrams, and when they were last heard.
+        Balancers that delivered datagrams, and when each was last heard.
     record_successors : Map
-        The upstream that took over each incarnation's records.
+        Upstream that took over the records of each incarnation.
+    drain : DrainProgress or None
+        None while the agent accepts new work.
     status_writer : StatusWriter
-        What is known of this node's object in the platform.
+        State of this node's status object in the platform.
     """
 
     node: Node
@@ -149,17 +155,17 @@
 
     @property
     def incarnation(self) -> int:
-        """The number that connection IDs and tickets of this run carry."""
+        """Incarnation number in this agent's connection IDs and tickets."""
         return self.node.incarnation
 
     @property
     def issuer(self) -> IssuerKey:
-        """Key of the records of this run."""
+        """Key of the outcome records of this incarnation."""
         return IssuerKey(self.upstream, self.incarnation)
 
 
 def get_load(state: AgentState) -> Load:
-    """Return the load as this agent counts it."""
+    """Return the current load of this agent's upstream."""
     admission = state.admission
     broken = admission.breaker.failures >= admission.settings.breaker_failures
     return Load(
@@ -172,7 +178,7 @@
 
 
 def get_heartbeat_payload(state: AgentState) -> HeartbeatPayload:
-    """Return what heartbeats say of this agent."""
+    """Return the payload of this agent's heartbeats."""
     return HeartbeatPayload(
         service=state.service, upstream=state.upstream, load=get_load(state)
     )
--- a/shedsill/http3/_answers.py
+++ b/shedsill/http3/_answers.py
@@ -1,4 +1,4 @@
-"""Answers of upstreams, and what callers are told of their requests."""
+"""Upstream answers, and the outcome of a request as reported to its caller."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class RequestOutcome(enum.Enum):
-    """What a caller is told about its request, in ``shedsill-outcome``."""
+    """Value of the ``shedsill-outcome`` header of an answer."""
 
     DONE = "done"
     NOT_RUN = "not-run"
@@ -17,7 +17,7 @@
 
 @frozen(kw_only=True)
 class Header:
-    """One field of an HTTP message."""
+    """A header field of an HTTP message."""
 
     name: str
     value: str
@@ -25,7 +25,7 @@
 
 @frozen(kw_only=True)
 class RecordedAnswer:
-    """A whole answer of an upstream."""
+    """A complete HTTP response of an upstream."""
 
     status: int
     headers: tuple[Header, ...]
