--- a/shedsill/http3/_drain.py
+++ b/shedsill/http3/_drain.py
@@ -1,4 +1,7 @@
-"""How an agent leaves: no new work, what runs goes on, the record is handed on."""
+"""Drain of an agent: it refuses new work, finishes the rest and hands its records over.
+
+The outcome records go to a successor, which then answers for the agent's tickets.
+"""
 
 from __future__ import annotations
 
@@ -24,7 +27,7 @@
 
 
 def update_drain(state: AgentState, now: float) -> Step:
-    """Begin or cancel a drain, as the configuration and the process want it."""
+    """Start or cancel a drain, as the configuration and a planned stop require."""
     upstream = state.node.configuration.find_upstream(state.upstream)
     needed = upstream is not None and upstream.state == UpstreamState.DRAINING
     needed = needed or state.node.stopping
@@ -36,7 +39,7 @@
 
 
 def start_drain(state: AgentState, now: float) -> Step:
-    """Take no new work from now on."""
+    """Stop accepting new work."""
     state = evolve(state, drain=DrainProgress(started_at=now))
     fields = {"flows": state.flow_count}
     return state, [WriteLog(event=LogEvent.DRAIN_BEGAN, fields=fields), AnnounceDrain()]
@@ -48,7 +51,7 @@
 
 
 def advance_drain(state: AgentState, now: float) -> Step:
-    """Take the next step of a drain, if one is due."""
+    """Take the next step of a drain, if it is due."""
     drain = state.drain
     if drain is None or drain.drained:
         return state, []
@@ -63,9 +66,9 @@
     if now - drain.last_offer_at < HANDOVER_RETRY_SECONDS and drain.offers_made:
         return state, []
     if drain.offers_made >= state.settings.handover_attempts:
-        note = WriteLog(event=LogEvent.HANDOVER_FAILED, fields={})
+        log = WriteLog(event=LogEvent.HANDOVER_FAILED, fields={})
         state, effects = _finish_drain(state)
-        return state, [note, *effects]
+        return state, [log, *effects]
     return _offer_records(state, drain, now)
 
 
@@ -78,17 +81,17 @@
 
 
 def _prepare_handover(state: AgentState, now: float) -> AgentState:
-    """Stop answering for issued tickets and take the next incarnation.
+    """Stop answering for issued tickets and start the next incarnation.
 
-    From here on only the successor may answer for them, whether or not the
-    word that it has taken them arrives.
+    From now on only the successor may answer for these tickets, even if its
+    confirmation of the handover is lost.
     """
     assert state.drain is not None
     successor = state.node.configuration.find_successor(state.upstream)
     transfers = make_transfers(state.outcomes, now)
-    handed = state.record_successors
+    successors = state.record_successors
     for key in state.outcomes.issuers:
-        handed = handed.set(key, successor)
+        successors = successors.set(key, successor)
     known = successor != 0
     drain = evolve(
         state.drain,
@@ -98,7 +101,11 @@
     )
     node = evolve(state.node, incarnation=state.node.incarnation + 1)
     state = evolve(
-        state, node=node, drain=drain, record_successors=handed, outcomes=OutcomeTable()
+        state,
+        node=node,
+        drain=drain,
+        record_successors=successors,
+        outcomes=OutcomeTable(),
     )
     return evolve(state, outcomes=add_issuer(state.outcomes, state.issuer))
 
@@ -118,7 +125,7 @@
 
 
 def handle_handover_result(state: AgentState, event: HandoverDone) -> Step:
-    """Note whether the successor has the record."""
+    """Finish the drain if the successor has taken the records over."""
     drain = state.drain
     if drain is None or not event.accepted or not drain.pending_transfers:
         return state, []
@@ -141,14 +148,14 @@
 
 
 def get_node_status(state: AgentState) -> NodeStatus:
-    """Return the status that this node's object in the platform should hold."""
+    """Return the status to be published in this node's platform object."""
     if state.drain is None:
         return NodeStatus.SERVING
     return NodeStatus.DRAINED if state.drain.drained else NodeStatus.DRAINING
 
 
 def report_status(state: AgentState, now: float) -> Step:
-    """Write this node's object when its status has changed."""
+    """Write this node's platform object if its status has changed."""
     if state.upstream == 0:
         return state, []
     details = {
--- a/shedsill/http3/_flows.py
+++ b/shedsill/http3/_flows.py
@@ -1,4 +1,4 @@
-"""What an agent does with frames: which flows it keeps, passes on or ends."""
+"""Handling of callers' datagrams by an agent: flows it serves, forwards or resets."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 REPLY_PATH_FRESH_SECONDS = 1.2
 REPLY_PATH_UPDATE_SECONDS = 0.25
 MAX_DECISIONS = 20_000
-REPORT_AGE_RESOLUTION_SECONDS = 0.001
+REPORT_AGE_RESOLUTION_SECONDS = 0.001  # ages are sent in milliseconds
 
 Step = tuple[AgentState, list[Effect]]
 
@@ -47,7 +47,7 @@
 def handle_caller_datagram(
     state: AgentState, event: FrameReceived, frame: ToUpstream
 ) -> Step:
-    """Decide what becomes of a caller's datagram."""
+    """Deliver a caller's datagram, forward it, or reset or refuse its flow."""
     state = record_reply_path(state, event.source, event.now, passed=frame.passed)
     if frame.upstream != state.upstream or frame.service != state.service:
         fields = {"upstream": frame.upstream, "service": frame.service}
@@ -110,11 +110,11 @@
         )
         state = evolve(state, handshake_bucket=bucket)
         if not taken and state.drain is None:
-            note = WriteLog(event=LogEvent.FLOW_RETRIED, fields={})
+            log = WriteLog(event=LogEvent.FLOW_RETRIED, fields={})
             retry = RequireRetry(
                 caller=frame.caller, datagram=frame.datagram, reply_to=reply_to
             )
-            return state, [note, retry]
+            return state, [log, retry]
     return _place_flow(state, event, frame, packet, reply_to)
 
 
@@ -126,15 +126,15 @@
     decision: PlacementDecision,
     reply_to: Address,
 ) -> Step:
-    """Do as before; but a flow passed on in vain is kept here in the end."""
+    """Repeat an earlier decision, or keep the flow if forwarding it has failed."""
     if decision.upstream == state.upstream:
         return state, [_deliver(frame, reply_to, can_open_connection=True)]
     if frame.passed:
-        # Two agents that each chose the other would hand it to and fro for ever.
+        # Never forward twice, or two agents could forward to each other forever.
         return _place_flow(state, event, frame, packet, reply_to)
     target = state.node.configuration.find_upstream(decision.upstream)
-    waited = event.now - decision.decided_at > FORWARD_TIMEOUT_SECONDS
-    if target is None or (waited and state.drain is None):
+    timed_out = event.now - decision.decided_at > FORWARD_TIMEOUT_SECONDS
+    if target is None or (timed_out and state.drain is None):
         return _keep_flow(state, event, frame, packet, reply_to)
     return state, [_forward_datagram(state, frame, target, reply_to)]
 
@@ -147,23 +147,23 @@
     reply_to: Address,
 ) -> Step:
     load = get_load(state)
-    warmth = get_slow_start_share(state, event.now)
+    slow_start_share = get_slow_start_share(state, event.now)
     target = None
     if not frame.passed:
         state, alternate = _estimate_alternate(state, frame.alternate, event.now)
         if is_alternate_preferred(
-            state.policy, load, alternate, slow_start_share=warmth
+            state.policy, load, alternate, slow_start_share=slow_start_share
         ):
             assert alternate is not None
             target = state.node.configuration.find_upstream(alternate.upstream)
         elif not load.open:
-            target = _find_other(state, packet)
+            target = _find_other_candidate(state, packet)
     if target is not None:
         state = _count_forwarded(state, target.number)
         state = _record_decision(state, packet, target.number, event.now)
         fields = {"upstream": target.name, "flows": load.flows}
-        note = WriteLog(event=LogEvent.FLOW_PASSED, fields=fields)
-        return state, [note, _forward_datagram(state, frame, target, reply_to)]
+        log = WriteLog(event=LogEvent.FLOW_PASSED, fields=fields)
+        return state, [log, _forward_datagram(state, frame, target, reply_to)]
     if state.drain is not None or load.flows >= load.flow_limit or not load.open:
         fields = {"flows": load.flows, "limit": load.flow_limit, "open": load.open}
         refusal = RefuseFlow(
@@ -176,28 +176,28 @@
 def _estimate_alternate(
     state: AgentState, candidate: Candidate | None, now: float
 ) -> tuple[AgentState, Candidate | None]:
-    """Merge a balancer's report with what has happened since it was made.
+    """Estimate the current load of the alternate from its last report.
 
-    The other is likely to have grown like this agent, and every agent of the
-    service to have passed on as many flows to it as this one.
+    Assumes that the alternate has gained as many flows of its own as this agent, and
+    that every agent of the service has forwarded as many flows to it as this one.
     """
     if candidate is None:
         return state, None
-    heard = now - candidate.age
+    reported_at = now - candidate.age
     peer_load = state.peer_loads.get(candidate.upstream)
     changed = peer_load is None or candidate.load != peer_load.load
     if peer_load is None or (
-        changed and heard > peer_load.reported_at + REPORT_AGE_RESOLUTION_SECONDS
+        changed and reported_at > peer_load.reported_at + REPORT_AGE_RESOLUTION_SECONDS
     ):
         peer_load = PeerLoad(
-            load=candidate.load, reported_at=heard, own_flows=state.flow_count
+            load=candidate.load, reported_at=reported_at, own_flows=state.flow_count
         )
         state = evolve(
             state, peer_loads=state.peer_loads.set(candidate.upstream, peer_load)
         )
     peers = len(state.node.configuration.list_upstreams(state.service)) - 1
-    grown = state.flow_count - peer_load.own_flows
-    flows = peer_load.load.flows + grown + peer_load.forwarded_flows * max(peers, 1)
+    gained = state.flow_count - peer_load.own_flows
+    flows = peer_load.load.flows + gained + peer_load.forwarded_flows * max(peers, 1)
     load = evolve(peer_load.load, flows=max(flows, 0))
     return state, evolve(
         candidate, load=load, age=max(now - peer_load.reported_at, 0.0)
@@ -221,12 +221,14 @@
 ) -> Step:
     state = _record_decision(state, packet, state.upstream, event.now)
     fields = {"caller": str(frame.caller), "flows": state.flow_count}
-    note = WriteLog(event=LogEvent.FLOW_KEPT, fields=fields)
-    return state, [note, _deliver(frame, reply_to, can_open_connection=True)]
+    log = WriteLog(event=LogEvent.FLOW_KEPT, fields=fields)
+    return state, [log, _deliver(frame, reply_to, can_open_connection=True)]
 
 
-def _find_other(state: AgentState, packet: PacketHeader) -> AcceptedUpstream | None:
-    """Return the candidate that a balancer with newer knowledge would choose."""
+def _find_other_candidate(
+    state: AgentState, packet: PacketHeader
+) -> AcceptedUpstream | None:
+    """Return the first candidate other than this upstream."""
     ranked = rank_upstreams(
         state.node.configuration.list_upstreams(state.service),
         state.service,
@@ -261,7 +263,7 @@
 
 
 def get_slow_start_share(state: AgentState, now: float) -> float:
-    """Return how far slow start has come, from its floor to 1."""
+    """Return the progress of slow start, from its minimum to 1."""
     span = state.settings.slow_start
     if span <= 0.0:
         return 1.0
@@ -270,7 +272,7 @@
 
 
 def drop_expired_decisions(state: AgentState, now: float) -> AgentState:
-    """Drop decisions on handshakes that are long over."""
+    """Drop decisions of handshakes that must have ended."""
     decisions = state.decisions
     for cid, decision in state.decisions.items():
         if now - decision.decided_at > DECISION_LIFETIME_SECONDS:
@@ -283,36 +285,36 @@
 def record_reply_path(
     state: AgentState, source: Address, now: float, *, passed: bool
 ) -> AgentState:
-    """Note that a balancer is alive; agents that pass flows on are none."""
+    """Record a frame from a balancer; forwarded frames come from an agent."""
     if passed:
         return state
-    heard = state.reply_paths.get(source)
-    if heard is not None and now - heard < REPLY_PATH_UPDATE_SECONDS:
+    last_heard_at = state.reply_paths.get(source)
+    if last_heard_at is not None and now - last_heard_at < REPLY_PATH_UPDATE_SECONDS:
         return state
     return evolve(state, reply_paths=state.reply_paths.set(source, now))
 
 
 def replace_silent_reply_paths(state: AgentState, now: float) -> Step:
-    """Leave balancers that have fallen silent for one heard of just now.
+    """Replace silent balancers in reply paths by the one that was heard last.
 
-    A flow whose caller only listens sends nothing that would show the agent a
-    new path, so the agent has to find one.
+    A caller that only receives sends no datagram that would show the agent another
+    path.
     """
-    fresh = [
-        (heard, address)
-        for address, heard in state.reply_paths.items()
-        if now - heard < REPLY_PATH_FRESH_SECONDS
+    recent = [
+        (last_heard_at, address)
+        for address, last_heard_at in state.reply_paths.items()
+        if now - last_heard_at < REPLY_PATH_FRESH_SECONDS
     ]
-    if not fresh:
+    if not recent:
         return state, []
-    best = max(fresh)[1]
+    newest = max(recent)[1]
     effects: list[Effect] = []
     paths = state.reply_paths
-    for address, heard in state.reply_paths.items():
-        if now - heard <= REPLY_PATH_TIMEOUT_SECONDS:
+    for address, last_heard_at in state.reply_paths.items():
+        if now - last_heard_at <= REPLY_PATH_TIMEOUT_SECONDS:
             continue
         paths = paths.delete(address)
-        fields = {"silent": str(address), "instead": str(best)}
+        fields = {"silent": str(address), "instead": str(newest)}
         effects.append(WriteLog(event=LogEvent.REPLY_PATH_MOVED, fields=fields))
-        effects.append(MoveReplyPath(old=address, new=best))
+        effects.append(MoveReplyPath(old=address, new=newest))
     return evolve(state, reply_paths=paths), effects
--- a/shedsill/http3/_outcomes.py
+++ b/shedsill/http3/_outcomes.py
@@ -1,8 +1,8 @@
-"""The record of outcomes that makes a request with a ticket run at most once.
+"""Outcome records, by which a request with a ticket runs at most once.
 
-For each ticket number that came back, a record says whether the request runs,
-is done (with the whole answer), was refused, or may have run.  Records live
-until their ticket expires and are never evicted early: when the table is full,
+A record is kept for each used ticket.  It says whether the request is running, has
+been answered (with the complete answer), was refused, or may have run.  Records are
+kept until their ticket expires and are never evicted early: when the table is full,
 new requests with tickets are refused.
 """
 
@@ -21,7 +21,7 @@
 
 @frozen(order=True)
 class IssuerKey:
-    """The agent incarnation that issued a ticket."""
+    """Key of the agent incarnation that issued a ticket."""
 
     upstream: int
     incarnation: int
@@ -29,7 +29,7 @@
 
 @frozen(kw_only=True)
 class Running:
-    """The request is waiting or at work; repeats in `waiters` get its answer."""
+    """The request is queued or running; the repeats in `waiters` get its answer."""
 
     fingerprint: bytes
     expires_at: float
@@ -39,7 +39,7 @@
 
 @frozen(kw_only=True)
 class Done:
-    """The request ran; this is its answer."""
+    """The request was answered."""
 
     fingerprint: bytes
     expires_at: float
@@ -48,7 +48,7 @@
 
 @frozen(kw_only=True)
 class MayHaveRun:
-    """The request may have run; it never runs again."""
+    """The request may have run and is never run again."""
 
     fingerprint: bytes
     expires_at: float
@@ -56,10 +56,10 @@
 
 @frozen(kw_only=True)
 class Refused:
-    """The request did not run and, under this ticket, never will.
+    """The request did not run and is never run with this ticket.
 
-    Nothing in a later copy shows that it was sent after the caller learned of
-    the refusal.  A caller that goes on uses the ticket that came with it.
+    A delayed duplicate cannot be told from a retry, so a caller that retries has to
+    use the ticket that the refusal carries.
     """
 
     fingerprint: bytes
@@ -71,12 +71,12 @@
 
 @frozen(kw_only=True)
 class IssuerRecords:
-    """The records of one incarnation.
+    """Records of the tickets of one incarnation.
 
     Attributes
     ----------
     clock_offset : float
-        Seconds from the issuer's monotonic clock to this node's.
+        Seconds to add to the issuer's monotonic time to get this node's.
     """
 
     clock_offset: float = 0.0
@@ -85,12 +85,12 @@
 
 @frozen(kw_only=True)
 class OutcomeTable:
-    """The records of one agent, its own and those it has taken over.
+    """Records of one agent: its own and those it has taken over.
 
     Attributes
     ----------
     record_count, recorded_bytes : int
-        Number of records, and octets of the answers in them.
+        Number of records, and total size of the answer bodies in them.
     """
 
     issuers: immutables.Map[IssuerKey, IssuerRecords] = field(factory=immutables.Map)
@@ -106,7 +106,7 @@
 def add_issuer(
     table: OutcomeTable, key: IssuerKey, *, clock_offset: float = 0.0
 ) -> OutcomeTable:
-    """Begin to answer for the tickets of an incarnation."""
+    """Add an incarnation for whose tickets this agent answers."""
     if key in table.issuers:
         return table
     return evolve(
@@ -115,12 +115,12 @@
 
 
 def get_local_expiry(table: OutcomeTable, key: IssuerKey, expires: float) -> float:
-    """Turn an expiry on the issuer's clock into one on this node's."""
+    """Convert an expiry time from the issuer's clock to this node's."""
     return expires + table.issuers.get(key, IssuerRecords()).clock_offset
 
 
 def find_record(table: OutcomeTable, key: IssuerKey, number: int) -> Record | None:
-    """Return the record of a ticket number, if there is one."""
+    """Return the record of a ticket, or None if there is none."""
     return table.issuers.get(key, IssuerRecords()).records.get(number)
 
 
@@ -139,25 +139,27 @@
     >>> drop_expired_records(table, 20.0).record_count
     0
     """
-    issued = table.issuers.get(key, IssuerRecords())
-    known = issued.records.get(number)
-    issued = evolve(issued, records=issued.records.set(number, record))
+    issuer = table.issuers.get(key, IssuerRecords())
+    known = issuer.records.get(number)
+    issuer = evolve(issuer, records=issuer.records.set(number, record))
     return OutcomeTable(
-        issuers=table.issuers.set(key, issued),
+        issuers=table.issuers.set(key, issuer),
         record_count=table.record_count + (known is None),
-        recorded_bytes=table.recorded_bytes + _weigh(record) - _weigh(known),
+        recorded_bytes=table.recorded_bytes
+        + _count_body_bytes(record)
+        - _count_body_bytes(known),
     )
 
 
-def _weigh(record: Record | None) -> int:
+def _count_body_bytes(record: Record | None) -> int:
     return len(record.answer.body) if isinstance(record, Done) else 0
 
 
 def is_full(table: OutcomeTable) -> bool:
-    """Whether no further request with a ticket may run.
+    """Whether requests with new tickets have to be refused.
 
-    Refusals are recorded all the same; they are small, and their number is
-    bounded by the rate of requests and the lifetime of tickets.
+    Refusals are recorded even then.  They are small, and their number is limited by
+    the request rate and the lifetime of tickets.
     """
     return (
         table.record_count >= MAX_RECORDS or table.recorded_bytes >= MAX_RECORDED_BYTES
@@ -165,20 +167,20 @@
 
 
 def drop_expired_records(table: OutcomeTable, now: float) -> OutcomeTable:
-    """Drop records whose ticket has expired, but for those still running."""
+    """Drop records of expired tickets, except those of running requests."""
     issuers = table.issuers
     recorded_bytes = table.recorded_bytes
-    for key, issued in table.issuers.items():
-        kept = issued.records
-        for number, record in issued.records.items():
+    for key, issuer in table.issuers.items():
+        kept = issuer.records
+        for number, record in issuer.records.items():
             if record.expires_at < now and not isinstance(record, Running):
                 kept = kept.delete(number)
-                recorded_bytes -= _weigh(record)
-        if kept is not issued.records:
-            issuers = issuers.set(key, evolve(issued, records=kept))
+                recorded_bytes -= _count_body_bytes(record)
+        if kept is not issuer.records:
+            issuers = issuers.set(key, evolve(issuer, records=kept))
     if issuers is table.issuers:
         return table
-    record_count = sum(len(issued.records) for issued in issuers.values())
+    record_count = sum(len(issuer.records) for issuer in issuers.values())
     return OutcomeTable(
         issuers=issuers, record_count=record_count, recorded_bytes=recorded_bytes
     )
@@ -186,13 +188,13 @@
 
 @frozen(kw_only=True)
 class Transfer:
-    """The records of one incarnation on their way to a successor.
+    """Records of one incarnation, as sent to a successor.
 
     Attributes
     ----------
     issuer_time : float
-        The issuer's monotonic time when they were sent; `expires_at` of each
-        record is on that clock too.
+        Time on the issuer's monotonic clock when the records were sent; `expires_at`
+        of each record is on the same clock.
     """
 
     issuer: IssuerKey
@@ -201,31 +203,31 @@
 
 
 def make_transfers(table: OutcomeTable, now: float) -> tuple[Transfer, ...]:
-    """Return all records in the form in which they are handed over."""
+    """Return all records, grouped by issuer, for a handover."""
     return tuple(
         Transfer(
             issuer=key,
-            issuer_time=now - issued.clock_offset,
+            issuer_time=now - issuer.clock_offset,
             records=tuple(
-                (number, _shift(finalize_record(record), -issued.clock_offset))
-                for number, record in sorted(issued.records.items(), key=_get_number)
+                (number, _shift(finalize_record(record), -issuer.clock_offset))
+                for number, record in sorted(issuer.records.items(), key=_get_number)
             ),
         )
-        for key, issued in sorted(table.issuers.items(), key=_get_key)
+        for key, issuer in sorted(table.issuers.items(), key=_get_key)
     )
 
 
 def merge_transfer(table: OutcomeTable, transfer: Transfer, now: float) -> OutcomeTable:
-    """Answer for another incarnation's tickets from now on.
+    """Add the records of a transfer, without replacing known ones.
 
     Examples
     --------
     >>> key = IssuerKey(7, 1)
     >>> record = MayHaveRun(fingerprint=b"", expires_at=110.0)
-    >>> leaver = put_record(OutcomeTable(), key, 3, record)
-    >>> transfer, = make_transfers(leaver, 100.0)
-    >>> taken = merge_transfer(OutcomeTable(), transfer, 5.0)
-    >>> find_record(taken, key, 3).expires_at
+    >>> source = put_record(OutcomeTable(), key, 3, record)
+    >>> transfer, = make_transfers(source, 100.0)
+    >>> target = merge_transfer(OutcomeTable(), transfer, 5.0)
+    >>> find_record(target, key, 3).expires_at
     15.0
     """
     offset = now - transfer.issuer_time
@@ -251,7 +253,7 @@
 
 
 def finalize_record(record: Record) -> Record:
-    """Return what a record becomes when its holder leaves."""
+    """Return the record to hand over; running requests become `MayHaveRun`."""
     match record:
         case Running(fingerprint=fingerprint, expires_at=expires):
             return MayHaveRun(fingerprint=fingerprint, expires_at=expires)
--- a/shedsill/http3/_request_completion.py
+++ b/shedsill/http3/_request_completion.py
@@ -1,8 +1,8 @@
-"""How a request gets its final answer, and its ticket its record.
+"""Completion of requests: the final answer, and the outcome record of the ticket.
 
-``not-run`` is said only where not one byte went to the upstream, or where the
-upstream itself said that it shed the request.  Once bytes went out and no whole
-answer came, the outcome is unknown.
+The outcome is ``not-run`` only if no byte was sent to the upstream or the upstream
+reported that it shed the request.  If bytes were sent and no complete answer was
+received, the outcome is unknown.
 """
 
 from __future__ import annotations
@@ -52,7 +52,7 @@
 
 
 def complete_relayed(state: AgentState, request: Request) -> Step:
-    """Close the record of an answer that was too long to be kept."""
+    """Complete a request whose answer was relayed and is too long to record."""
     waiters = get_waiters(state, request)
     state = record_unknown(state, request)
     effects: list[Effect] = [log_request(LogEvent.REQUEST_DONE, request)]
@@ -67,23 +67,23 @@
 def complete_with_answer(
     state: AgentState, request: Request, answer: RecordedAnswer
 ) -> Step:
-    """Give the answer to a request and to all that repeated it."""
+    """Send the answer to the caller of a request and to those of its repeats."""
     waiters = get_waiters(state, request)
     record = find_request_record(state, request)
     if record is not None:
-        small = len(answer.body) <= MAX_RECORDED_BODY_BYTES
-        settled = (
+        fits = len(answer.body) <= MAX_RECORDED_BODY_BYTES
+        final = (
             Done(
                 fingerprint=record.fingerprint,
                 expires_at=record.expires_at,
                 answer=answer,
             )
-            if small
+            if fits
             else MayHaveRun(
                 fingerprint=record.fingerprint, expires_at=record.expires_at
             )
         )
-        state = put_request_record(state, request, settled)
+        state = put_request_record(state, request, final)
     effects: list[Effect] = [log_request(LogEvent.REQUEST_DONE, request)]
     for number in (request.number, *waiters):
         state, waiter = remove_request(state, number)
@@ -95,7 +95,7 @@
 def complete_without_answer(
     state: AgentState, request: Request, reason: str, now: float, seed: int
 ) -> Step:
-    """Refuse a request, as not run if nothing of it reached the upstream."""
+    """Refuse a request; its outcome is not-run unless bytes of it were sent."""
     if request.sent:
         state = set_admission(state, drop_request(state.admission, request, now))
         return complete_unknown(state, request, STATUS_BAD_GATEWAY, reason)
@@ -125,7 +125,7 @@
 def complete_unknown(
     state: AgentState, request: Request, status: int, reason: str
 ) -> Step:
-    """Say that a request may have run, to its caller and all who repeated it."""
+    """Answer a request and its repeats that the request may have run."""
     waiters = get_waiters(state, request)
     state = record_unknown(state, request)
     if request.answer_started:
@@ -146,13 +146,13 @@
 
 
 def get_waiters(state: AgentState, request: Request) -> tuple[int, ...]:
-    """Return the requests that wait for the same outcome."""
+    """Return the numbers of the repeats that wait for the same outcome."""
     record = find_request_record(state, request)
     return record.waiters if isinstance(record, Running) else ()
 
 
 def remove_request(state: AgentState, number: int) -> tuple[AgentState, Request | None]:
-    """Drop a request and return it, if it was there."""
+    """Remove a request and return it, or None if there is none."""
     request = state.admission.requests.get(number)
     if request is None:
         return state, None
@@ -160,7 +160,7 @@
 
 
 def find_request_record(state: AgentState, request: Request) -> Record | None:
-    """Return the record of a request's ticket."""
+    """Return the record of a request's ticket, or None if there is none."""
     if request.issuer is None:
         return None
     return find_record(state.outcomes, request.issuer, request.ticket_number)
@@ -176,7 +176,7 @@
 
 
 def record_refusal(state: AgentState, request: Request) -> AgentState:
-    """Record that a request did not run and never will."""
+    """Record that a request did not run and is never run."""
     record = find_request_record(state, request)
     if record is None:
         return state
@@ -205,7 +205,7 @@
     reason: str,
     event: RequestArrived | None = None,
 ) -> RefuseRequest:
-    """Return the refusal of a request of which nothing ran."""
+    """Return the effect that refuses a request that did not run."""
     retry_after = 0
     if event is not None:
         retry_after = get_retry_after(state.admission, event.now, event.seed)
@@ -220,7 +220,7 @@
 
 
 def build_unknown_answer(request: Request, status: int, reason: str) -> RefuseRequest:
-    """Return the answer to a request that may have run."""
+    """Return the effect that answers a request that may have run."""
     return RefuseRequest(
         request=request.number,
         status=status,
@@ -231,10 +231,10 @@
 
 
 def get_log_fields(request: Request) -> dict[str, Any]:
-    """Return the fields by which log lines name a request."""
+    """Return the log fields that identify a request."""
     return {"request": request.number, "class": request.request_class.name}
 
 
 def log_request(event: LogEvent, request: Request) -> WriteLog:
-    """Return a log line about a request."""
+    """Return the effect that logs an event of a request."""
     return WriteLog(event=event, fields=get_log_fields(request))
--- a/shedsill/http3/_requests.py
+++ b/shedsill/http3/_requests.py
@@ -1,4 +1,4 @@
-"""What an agent does with each request, from arrival to its final answer."""
+"""Agent handlers for requests, from arrival to the final answer."""
 
 from __future__ import annotations
 
@@ -85,7 +85,7 @@
 
 
 def handle_request(state: AgentState, event: RequestArrived) -> Step:
-    """Decide on a request that has just arrived."""
+    """Start, queue, forward or refuse a new request, or answer a repeated one."""
     state, request = _make_request(state, event)
     if not event.key:
         return _admit(state, request, event.now, event.seed)
@@ -171,14 +171,14 @@
 def _handle_repeat(
     state: AgentState, request: Request, record: Record, event: RequestArrived
 ) -> Step:
-    """Answer a ticket that has come back."""
+    """Answer a request whose ticket has been used before."""
     match record:
         case Done(answer=answer):
-            note = log_request(LogEvent.REQUEST_REPLAYED, request)
+            log = log_request(LogEvent.REQUEST_REPLAYED, request)
             effect = SendAnswer(
                 request=request.number, answer=answer, ticket=request.ticket
             )
-            return state, [note, effect]
+            return state, [log, effect]
         case MayHaveRun():
             reason = "an earlier attempt may have run"
             return state, [build_unknown_answer(request, STATUS_CONFLICT, reason)]
@@ -198,7 +198,7 @@
 def _forward_request(
     state: AgentState, request: Request, issuer: IssuerKey, event: RequestArrived
 ) -> Step:
-    """Hand a request to the agent that answers for its ticket."""
+    """Forward a request to the agent that answers for its ticket."""
     if event.from_peer:
         return state, [DeclineForwardedRequest(request=request.number)]
     issuing_upstream = state.node.configuration.find_upstream(issuer.upstream)
@@ -213,7 +213,7 @@
 
 
 def _send_to_peer(state: AgentState, request: Request, target: int) -> Step:
-    """Pass a request on; no agent passes to itself or to another service."""
+    """Forward a request, but neither to this agent nor to another service."""
     upstream = state.node.configuration.find_upstream(target)
     unusable = upstream is None or upstream.service != state.service
     if unusable or target == state.upstream or request.hops >= MAX_HOPS:
@@ -231,13 +231,13 @@
 
 
 def _try_successor(state: AgentState, request: Request, departed: int) -> Step:
-    """Ask the upstream that took over from one that is gone."""
+    """Forward a request to the successor of an upstream that has left."""
     successor = state.node.configuration.find_successor(departed)
     return _send_to_peer(state, request, successor)
 
 
 def handle_peer_answer(state: AgentState, event: PeerAnswered) -> Step:
-    """Give a caller the answer that another agent gave."""
+    """Answer a request with the answer of another agent."""
     request = state.admission.requests.get(event.request)
     if request is None:
         return state, []
@@ -252,7 +252,7 @@
 
 
 def handle_peer_failure(state: AgentState, event: PeerFailed) -> Step:
-    """Go on without the agent to which a request was passed."""
+    """Try the successor of the agent to which a request was forwarded, or give up."""
     request = state.admission.requests.get(event.request)
     if request is None:
         return state, []
@@ -280,15 +280,15 @@
 
 def _start(state: AgentState, request: Request, now: float) -> Step:
     state = set_admission(state, start_request(state.admission, request, now))
-    hold = request.needs_slot
+    buffered = request.needs_slot
     effect = SendUpstreamRequest(
-        request=request.number, buffer_answer=hold, ticket=request.ticket
+        request=request.number, buffer_answer=buffered, ticket=request.ticket
     )
     return state, [log_request(LogEvent.REQUEST_STARTED, request), effect]
 
 
 def start_queued_requests(state: AgentState, now: float, seed: int) -> Step:
-    """Start as many queued requests as there are free slots."""
+    """Start queued requests while there are free slots."""
     effects: list[Effect] = []
     while (number := choose_next_request(state.admission, now)) is not None:
         request = state.admission.requests[number]
@@ -303,7 +303,7 @@
 
 
 def expire_requests(state: AgentState, now: float, seed: int) -> Step:
-    """End the requests whose deadline has passed, or cannot be kept."""
+    """End the requests whose deadline has passed or can no longer be met."""
     effects: list[Effect] = []
     for request in list(state.admission.requests.values()):
         more: list[Effect] = []
@@ -321,14 +321,14 @@
 
 def _expire(state: AgentState, request: Request, now: float) -> Step:
     effects: list[Effect] = [log_request(LogEvent.REQUEST_EXPIRED, request)]
-    aborted = request.phase == RequestPhase.RUNNING
-    if aborted:
+    was_running = request.phase == RequestPhase.RUNNING
+    if was_running:
         effects.append(AbortUpstreamRequest(request=request.number))
     if request.phase == RequestPhase.JOINED:
         state = _leave_waiters(state, request)
-    admission = drop_request(state.admission, request, now, aborted=aborted)
+    admission = drop_request(state.admission, request, now, aborted=was_running)
     state = set_admission(state, admission)
-    if not aborted:
+    if not was_running:
         reason = "no answer before the deadline"
         return state, [*effects, build_unknown_answer(request, STATUS_TIMEOUT, reason)]
     state, more = complete_unknown(state, request, STATUS_TIMEOUT, "deadline passed")
@@ -336,28 +336,32 @@
 
 
 def handle_cancellation(state: AgentState, event: RequestCancelled) -> Step:
-    """Free what a request held that its caller gave up."""
+    """Abort a request that its caller has cancelled.
+
+    A request with a ticket goes on if other requests wait for its outcome, or if the
+    caller's connection ended without a cancellation: the caller may repeat it.
+    """
     request = state.admission.requests.get(event.request)
     if request is None:
         return state, []
-    note = log_request(LogEvent.REQUEST_CANCELLED, request)
+    log = log_request(LogEvent.REQUEST_CANCELLED, request)
     if request.phase == RequestPhase.JOINED:
         state = _leave_waiters(state, request)
         return set_admission(
             state, drop_request(state.admission, request, event.now)
-        ), [note]
+        ), [log]
     record = find_request_record(state, request)
     has_waiters = isinstance(record, Running) and bool(record.waiters)
-    lost_caller = request.issuer is not None and not event.deliberate
-    if has_waiters or (lost_caller and request.phase != RequestPhase.FORWARDED):
-        return state, [note]
-    aborted = request.phase == RequestPhase.RUNNING
-    admission = drop_request(state.admission, request, event.now, aborted=aborted)
+    may_be_repeated = request.issuer is not None and not event.deliberate
+    if has_waiters or (may_be_repeated and request.phase != RequestPhase.FORWARDED):
+        return state, [log]
+    was_running = request.phase == RequestPhase.RUNNING
+    admission = drop_request(state.admission, request, event.now, aborted=was_running)
     state = set_admission(state, admission)
-    if not aborted:
-        return record_refusal(state, request), [note]
+    if not was_running:
+        return record_refusal(state, request), [log]
     state = record_unknown(state, request)
-    return state, [note, AbortUpstreamRequest(request=request.number)]
+    return state, [log, AbortUpstreamRequest(request=request.number)]
 
 
 def _leave_waiters(state: AgentState, request: Request) -> AgentState:
@@ -369,7 +373,7 @@
 
 
 def handle_answer_started(state: AgentState, event: UpstreamAnswerStarted) -> Step:
-    """Note that part of an answer has gone to the caller."""
+    """Record that part of the answer has been sent to the caller."""
     request = state.admission.requests.get(event.request)
     if request is None:
         return state, []
@@ -379,7 +383,7 @@
 
 
 def handle_upstream_answer(state: AgentState, event: UpstreamAnswered) -> Step:
-    """Give a request the upstream's whole answer."""
+    """Complete a request with the upstream's answer."""
     request = state.admission.requests.get(event.request)
     if request is None:
         return state, []
@@ -405,7 +409,7 @@
 
 
 def handle_upstream_failure(state: AgentState, event: UpstreamFailed) -> Step:
-    """Go on after the upstream gave no whole answer."""
+    """Retry or complete a request to which the upstream gave no complete answer."""
     request = state.admission.requests.get(event.request)
     if request is None:
         return state, []
@@ -440,11 +444,11 @@
 
 
 def _queue_retry(state: AgentState, request: Request, event: UpstreamFailed) -> Step:
-    """Queue a request once more, behind the slot that its attempt held."""
+    """Queue a request for a retry; its aborted attempt keeps the slot for a while."""
     admission = drop_request(state.admission, request, event.now, aborted=event.sent)
     sent = request.sent or event.sent
-    again = evolve(request, retried=True, sent=sent, phase=RequestPhase.QUEUED)
-    state = set_admission(state, queue_request(admission, again))
+    retry = evolve(request, retried=True, sent=sent, phase=RequestPhase.QUEUED)
+    state = set_admission(state, queue_request(admission, retry))
     return state, [log_request(LogEvent.REQUEST_RETRIED, request)]
 
 
@@ -459,8 +463,8 @@
 
 def _record_success(state: AgentState) -> Step:
     settings = state.admission.settings
-    was_broken = state.admission.breaker.failures >= settings.breaker_failures
+    breaker_was_open = state.admission.breaker.failures >= settings.breaker_failures
     state = set_admission(state, record_success(state.admission))
-    if not was_broken:
+    if not breaker_was_open:
         return state, []
     return state, [WriteLog(event=LogEvent.BREAKER_CLOSED, fields={})]
