--- a/shedsill/http3/_outcomes.py
+++ b/shedsill/http3/_outcomes.py
@@ -58,8 +58,8 @@
 class Refused:
     """The request did not run and is never run with this ticket.
 
-    A delayed duplicate cannot be told from a retry, so a caller that retries has to
-    use the ticket that the refusal carries.
+    A delayed duplicate cannot be distinguished from a retry, so a caller that retries
+    has to use the ticket that the refusal carries.
     """
 
     fingerprint: bytes
--- a/shedsill/http3/_runtime/__init__.py
+++ b/shedsill/http3/_runtime/__init__.py
@@ -1,1 +1,1 @@
-"""Thin `mode` services that carry out what the reducers decide."""
+"""`mode` services that execute the effects of the reducers."""
--- a/shedsill/http3/_runtime/agent.py
+++ b/shedsill/http3/_runtime/agent.py
@@ -1,4 +1,4 @@
-"""The agent's daemon: QUIC and upstream calls around the reducer."""
+"""The agent's service: QUIC connections and upstream requests around the reducer."""
 
 from __future__ import annotations
 
@@ -97,7 +97,7 @@
 
 @frozen(kw_only=True)
 class AgentOptions:
-    """What the settings say of an agent."""
+    """Options of an agent, from its settings."""
 
     name: str
     upstream: str
@@ -112,7 +112,7 @@
 
 
 def make_agent_state(options: AgentOptions, keys: KeyRing) -> AgentState:
-    """Return the state in which an agent starts."""
+    """Return the initial state of an agent."""
     node = Node(
         name=options.name,
         address=options.address,
@@ -132,15 +132,15 @@
 
 
 class _StreamRelay:
-    """Sends an answer to the caller as it comes."""
+    """Relays an upstream's answer to the caller while it is received."""
 
     def __init__(self, agent: Agent, exchange: Exchange, ticket: str) -> None:
         self._agent = agent
         self._exchange = exchange
         self._ticket = ticket
 
-    def begin(self, status: int, headers: tuple[Header, ...]) -> None:
-        """Send the head."""
+    def start(self, status: int, headers: tuple[Header, ...]) -> None:
+        """Send the status and headers."""
         agent = self._agent
         agent.dispatch(
             UpstreamAnswerStarted(request=self._exchange.number, now=agent.now)
@@ -149,19 +149,19 @@
         agent.flow_table.send_head(self._exchange, status, (*headers, *extra))
 
     async def write(self, data: bytes) -> None:
-        """Send a part."""
+        """Send a part of the body, once there is room in the send buffer."""
         await self._agent.flow_table.wait_for_send_buffer(self._exchange)
         self._agent.flow_table.send_body(self._exchange, data, ended=False)
 
     def end(self) -> None:
-        """Send the end."""
+        """End the answer."""
         self._agent.flow_table.send_body(self._exchange, b"", ended=True)
 
 
 def make_outcome_headers(
     outcome: RequestOutcome, ticket: str, *, reason: str = "", retry_after: int = 0
 ) -> tuple[Header, ...]:
-    """Return the fields that every answer carries beside the upstream's."""
+    """Return the header fields that are added to every answer."""
     headers = [Header(name=OUTCOME_HEADER, value=outcome.value)]
     if ticket:
         headers.append(Header(name=TICKET_HEADER, value=ticket))
@@ -173,7 +173,7 @@
 
 
 class Agent(Driver[AgentState]):
-    """One agent process."""
+    """The service of an agent process."""
 
     def __init__(
         self,
@@ -232,7 +232,7 @@
             Gauge(name, text, registry=registry).set_function(read)
 
     def get_status(self) -> dict[str, Any]:
-        """Return what ``/status`` shows."""
+        """Return the content of ``/status``."""
         state = self.node_state
         generation = state.node.configuration.generation
         slots_held = self.now < state.admission.slots_available_at
@@ -253,7 +253,7 @@
         }
 
     async def on_start(self) -> None:
-        """Prepare QUIC and the upstream client."""
+        """Start QUIC and the upstream client."""
         id_generator = ConnectionIdGenerator(
             generate=self._generate_id, make_reset_token=self.keys.make_reset_token
         )
@@ -278,15 +278,15 @@
         await self._upstream.close()
 
     async def _load_certificate(self) -> None:
-        note, loaded = await self._certificates.load(self.platform)
+        log, loaded = await self._certificates.load(self.platform)
         if loaded is not None:
             configuration = make_quic_configuration()
             configuration.certificate = loaded.certificate
             configuration.certificate_chain = list(loaded.chain)
             configuration.private_key = loaded.private_key
             self.flow_table.configuration = configuration
-        if note is not None:
-            self.write_log(note)
+        if log is not None:
+            self.write_log(log)
 
     @mode.Service.task
     async def _refresh_certificate(self) -> None:
@@ -345,7 +345,7 @@
         self.write_log(WriteLog(event=LogEvent.FLOW_FAILED, fields=fields))
 
     def execute(self, effect: Effect) -> None:
-        """Carry out an effect."""
+        """Execute an effect."""
         match effect:
             case Deliver():
                 self.flow_table.deliver(effect)
@@ -415,9 +415,11 @@
     def _finish(
         self, exchange: Exchange, answer: RecordedAnswer, extra: tuple[Header, ...]
     ) -> None:
-        """Send a whole answer, with our fields in place of any of the same name."""
-        ours = {header.name for header in extra}
-        kept = tuple(header for header in answer.headers if header.name not in ours)
+        """Send a complete answer; the extra fields replace those of the same name."""
+        extra_names = {header.name for header in extra}
+        kept = tuple(
+            header for header in answer.headers if header.name not in extra_names
+        )
         if exchange.reply_future is not None:
             if not exchange.reply_future.done():
                 exchange.reply_future.set_result(
@@ -513,23 +515,25 @@
             body=exchange.body.get_buffered(),
             key=exchange.idempotency_key,
         )
-        answer, gone = await self._get_peers().forward_request(effect.peer, request)
+        answer, not_accepted = await self._get_peers().forward_request(
+            effect.peer, request
+        )
         if answer is not None:
             self._finish_forwarded(exchange, answer)
             return
         self.dispatch(
             PeerFailed(
                 request=exchange.number,
-                not_accepted=gone,
+                not_accepted=not_accepted,
                 now=self.now,
                 seed=self.draw_seed(),
             )
         )
 
     def _finish_forwarded(self, exchange: Exchange, answer: RecordedAnswer) -> None:
-        """Give a caller the issuer's answer with the outcome that it names."""
-        named = [h.value for h in answer.headers if h.name == OUTCOME_HEADER]
-        outcome = RequestOutcome(named[0]) if named else RequestOutcome.UNKNOWN
+        """Complete a forwarded request with the other agent's answer and outcome."""
+        outcomes = [h.value for h in answer.headers if h.name == OUTCOME_HEADER]
+        outcome = RequestOutcome(outcomes[0]) if outcomes else RequestOutcome.UNKNOWN
         self.dispatch(
             PeerAnswered(
                 request=exchange.number, answer=answer, outcome=outcome, now=self.now
@@ -538,22 +542,22 @@
 
     async def _answer_peer_request(self, request: web.Request) -> web.Response:
         try:
-            passed = decode_peer_request(self.keys, await request.read())
+            forwarded = decode_peer_request(self.keys, await request.read())
         except DecodeError:
             return web.Response(status=HTTP_FORBIDDEN)
         state = self.node_state
-        if passed.service != state.service or passed.upstream != state.upstream:
+        if forwarded.service != state.service or forwarded.upstream != state.upstream:
             return web.Response(status=HTTP_GONE)
         body = Body()
-        body.append(passed.body, ended=True)
+        body.append(forwarded.body, ended=True)
         exchange = Exchange(
             number=next(self.flow_table.exchange_numbers),
             flow=-1,
             stream=-1,
-            method=passed.method,
-            path=passed.path,
+            method=forwarded.method,
+            path=forwarded.path,
             authority="",
-            headers=passed.headers,
+            headers=forwarded.headers,
             body=body,
             dispatched=True,
             reply_future=asyncio.get_running_loop().create_future(),
@@ -566,8 +570,8 @@
 
     async def _hand_over(self, effect: SendHandover) -> None:
         handover = Handover(upstream=effect.upstream, transfers=effect.transfers)
-        taken = await self._get_peers().hand_over(effect.peer, handover)
-        self.dispatch(HandoverDone(accepted=taken, now=self.now))
+        accepted = await self._get_peers().hand_over(effect.peer, handover)
+        self.dispatch(HandoverDone(accepted=accepted, now=self.now))
 
     def _get_peers(self) -> PeerClient:
         assert self.http is not None
--- a/shedsill/http3/_runtime/balancer.py
+++ b/shedsill/http3/_runtime/balancer.py
@@ -1,4 +1,4 @@
-"""The balancer's daemon: service sockets around the reducer."""
+"""The balancer's service: service sockets around the reducer."""
 
 from __future__ import annotations
 
@@ -31,15 +31,17 @@
 
 @frozen(kw_only=True)
 class BalancerOptions:
-    """What the settings say of a balancer.
+    """Options of a balancer, from its settings.
 
     Attributes
     ----------
     address : Address
-        For frames (UDP) and control (TCP).
+        Address for frames (UDP) and the control server (TCP).
     service_host : str
-        IP number on which service ports are opened; empty to use each
-        service's own.
+        IP address on which service ports are opened; empty to use each service's own
+        address.
+    lease_time : float
+        Seconds for which the acceptor's lease is valid.
     """
 
     name: str
@@ -54,7 +56,7 @@
 
 
 def make_balancer_state(options: BalancerOptions, keys: KeyRing) -> BalancerState:
-    """Return the state in which a balancer starts."""
+    """Return the initial state of a balancer."""
     node = Node(
         name=options.name,
         address=options.address,
@@ -78,14 +80,14 @@
 
 
 class ServiceProtocol(asyncio.DatagramProtocol):
-    """Receives callers' datagrams at one service address."""
+    """Receives callers' datagrams on one service address."""
 
     def __init__(self, balancer: Balancer, service: int) -> None:
         self._balancer = balancer
         self._service = service
 
     def datagram_received(self, data: bytes, addr: tuple[Any, ...]) -> None:
-        """Dispatch one datagram."""
+        """Dispatch a datagram."""
         balancer = self._balancer
         balancer.dispatch(
             CallerDatagram(
@@ -97,11 +99,11 @@
         )
 
     def error_received(self, exc: Exception) -> None:
-        """Pass over what ICMP says of a caller."""
+        """Ignore ICMP errors caused by datagrams to callers."""
 
 
 class Balancer(Driver[BalancerState]):
-    """One balancer process."""
+    """The service of a balancer process."""
 
     def __init__(
         self,
@@ -115,7 +117,7 @@
         super().__init__(state, keys=keys, platform=platform, event_log=event_log)
         self._options = options
         self._sockets: dict[int, asyncio.DatagramTransport] = {}
-        self._opened: dict[int, Address] = {}
+        self._listen_addresses: dict[int, Address] = {}
         members = Gauge(
             "shedsill_live_nodes", "Nodes heard of", registry=event_log.registry
         )
@@ -136,7 +138,7 @@
         return len(list_live_members(self.node_state.node.membership, self.now))
 
     def get_status(self) -> dict[str, Any]:
-        """Return what ``/status`` shows."""
+        """Return the content of ``/status``."""
         node = self.node_state.node
         reports = [m.report for m in list_live_members(node.membership, self.now)]
         return {
@@ -151,13 +153,13 @@
         }
 
     async def on_stop(self) -> None:
-        """Close service sockets too."""
+        """Close the service sockets and those of the node."""
         for transport in self._sockets.values():
             transport.close()
         await super().on_stop()
 
     def execute(self, effect: Effect) -> None:
-        """Carry out an effect."""
+        """Execute an effect."""
         match effect:
             case SendToCaller(service=service, caller=caller, datagram=datagram):
                 transport = self._sockets.get(service)
@@ -169,19 +171,19 @@
                 super().execute(effect)
 
     async def _open_services(self, configuration: Configuration) -> None:
-        wanted = {
+        needed = {
             accepted.number: self._get_listen_address(accepted.service.address)
             for accepted in configuration.services
         }
-        for number, address in list(self._opened.items()):
-            if wanted.get(number) != address:
+        for number, address in list(self._listen_addresses.items()):
+            if needed.get(number) != address:
                 self._close_service(number)
-        for number, address in wanted.items():
-            if number not in self._opened:
+        for number, address in needed.items():
+            if number not in self._listen_addresses:
                 await self._open_service(number, address)
 
     def _close_service(self, number: int) -> None:
-        del self._opened[number]
+        del self._listen_addresses[number]
         transport = self._sockets.pop(number, None)
         if transport is not None:
             transport.close()
@@ -191,14 +193,14 @@
         return Address(self._options.service_host or address.host, address.port)
 
     async def _open_service(self, number: int, address: Address) -> None:
-        self._opened[number] = address
+        self._listen_addresses[number] = address
         loop = asyncio.get_running_loop()
         try:
             transport, _protocol = await loop.create_datagram_endpoint(
                 lambda: ServiceProtocol(self, number), local_addr=address.pair
             )
         except OSError:
-            self._opened.pop(number, None)
+            self._listen_addresses.pop(number, None)
             raise
         enlarge_buffers(transport)
         self._sockets[number] = transport
--- a/shedsill/http3/_runtime/certificates.py
+++ b/shedsill/http3/_runtime/certificates.py
@@ -1,6 +1,6 @@
-"""Where an agent's certificate comes from, and its rotation.
+"""Loading and rotation of an agent's certificate.
 
-A new certificate is used for new connections; those already open keep theirs.
+A new certificate is used for new connections only.
 """
 
 from __future__ import annotations
@@ -35,13 +35,13 @@
 
 @define
 class CertificateLoader:
-    """Reads the certificate from settings, files or a platform object.
+    """Loads the certificate from settings, files or a platform object.
 
     Attributes
     ----------
     certificate, private_key : str
-        PEM text, a file's path, or ``platform:NAME`` for the object of that
-        name with ``certificate`` and ``private_key`` in its value.
+        PEM text, the path of a PEM file, or ``platform:NAME`` for the platform object
+        of that name, whose value has ``certificate`` and ``private_key``.
     """
 
     certificate: str
@@ -49,13 +49,13 @@
     _loaded_digest: str = ""
 
     def get_refresh_delay(self) -> float:
-        """Return the seconds until the next look at the source, jittered."""
+        """Return the seconds until the next refresh, with jitter."""
         return REFRESH_SECONDS * random.uniform(0.75, 1.25)
 
     async def load(
         self, platform: Platform
     ) -> tuple[WriteLog | None, LoadedCertificate | None]:
-        """Return a note and the certificate, where it has changed."""
+        """Return a log entry and the certificate, if it has changed."""
         try:
             texts = await self._read(platform)
             if texts is None:
@@ -83,14 +83,14 @@
 
 
 def read_pem(source: str) -> str:
-    """Return PEM text, from the setting itself or from a file."""
+    """Return the PEM text that a setting contains or that its file holds."""
     if source.startswith(PEM_PREFIX):
         return source
     return pathlib.Path(source).read_text()
 
 
 def parse_certificate(certificate: str, private_key: str) -> LoadedCertificate:
-    """Parse PEM texts; raises ValueError where they are not usable."""
+    """Parse PEM texts; raises ValueError if they are invalid."""
     chain = load_pem_x509_certificates(certificate.encode())
     return LoadedCertificate(
         certificate=chain[0],
@@ -100,7 +100,7 @@
 
 
 def check_certificate(setting: str, certificate: str, private_key: str) -> None:
-    """Raise `SettingError` where certificate settings cannot be used."""
+    """Raise `SettingError` if certificate settings are invalid."""
     if certificate.startswith(PLATFORM_PREFIX):
         return
     allowed = "PEM text, the path of a PEM file, or platform:NAME"
--- a/shedsill/http3/_runtime/connections.py
+++ b/shedsill/http3/_runtime/connections.py
@@ -1,4 +1,4 @@
-"""Client sessions whose connections are watched by keep-alive."""
+"""HTTP client connections with TCP keep-alive."""
 
 from __future__ import annotations
 
@@ -19,20 +19,19 @@
 
 
 def make_connector(**options: Any) -> aiohttp.TCPConnector:
-    """Return a connector whose connections notice that they have gone silent.
+    """Return a connector whose connections detect a silent peer.
 
     Parameters
     ----------
     options
-        See `aiohttp.TCPConnector`.
+        Options of `aiohttp.TCPConnector`.
     """
     return aiohttp.TCPConnector(socket_factory=_open_socket, **options)
 
 
 def make_timeout(seconds: float) -> aiohttp.ClientTimeout:
-    """Return a limit for an answer to begin and for each further part of it.
+    """Return a timeout for connecting and for each read of a response.
 
-    A limit for the whole would have to be as long as the largest answer takes on the
-    thinnest link, or that answer would never come.
+    There is no total timeout, because a large response may take long on a slow link.
     """
     return aiohttp.ClientTimeout(total=None, sock_connect=seconds, sock_read=seconds)
--- a/shedsill/http3/_runtime/control.py
+++ b/shedsill/http3/_runtime/control.py
@@ -1,4 +1,4 @@
-"""The HTTP side of a node: health, metrics, status, and what peers ask for."""
+"""HTTP server of a node: health, metrics, status and requests of peers."""
 
 from __future__ import annotations
 
@@ -24,9 +24,11 @@
     Parameters
     ----------
     address : Address
-        The same IP number and port as the node's frames, but over TCP.
+        Address to listen on (TCP); the same as that of the node's frames (UDP).
     get_status : callable
-        Returns the JSON of ``/status``; its ``ready`` decides on ``/readyz``.
+        Returns the content of ``/status``; its ``ready`` is the result of ``/readyz``.
+    routes : tuple of (str, callable)
+        Further paths and their POST handlers.
     """
 
     def __init__(
@@ -49,7 +51,7 @@
         self._runner: web.AppRunner | None = None
 
     async def on_start(self) -> None:
-        """Listen."""
+        """Start listening."""
         app = web.Application(client_max_size=MAX_PEER_MESSAGE_BYTES)
         app.router.add_get("/healthz", self._answer_health)
         app.router.add_get("/readyz", self._answer_ready)
--- a/shedsill/http3/_runtime/driver.py
+++ b/shedsill/http3/_runtime/driver.py
@@ -1,4 +1,4 @@
-"""The loop that feeds a reducer and carries out its effects."""
+"""Event loop that feeds a reducer and executes its effects."""
 
 from __future__ import annotations
 
@@ -42,9 +42,7 @@
 from shedsill.http3._runtime.log import EventLog
 
 TICK_INTERVAL_SECONDS = 0.05
-PEER_TIMEOUT_SECONDS = 2.0
-"""Seconds for another node's answer to begin, and for each further part of it."""
-
+PEER_TIMEOUT_SECONDS = 2.0  # per connect and read
 SOCKET_BUFFER_BYTES = 4 * 1024 * 1024
 _State = TypeVar("_State")
 
@@ -60,18 +58,20 @@
         self._driver.receive_frame(data, Address(addr[0], addr[1]))
 
     def error_received(self, exc: Exception) -> None:
-        """Pass over what ICMP says of a peer; silence is noticed elsewhere."""
+        """Ignore ICMP errors; heartbeats detect silent peers."""
 
 
 class Driver(mode.Service, Generic[_State]):
-    """Base of the balancer's and the agent's services.
+    """Base class of the balancer's and the agent's services.
 
     Attributes
     ----------
     node_state : BalancerState or AgentState
-        Replaced by the reducer at each event.
+        Current state, replaced by the reducer at each event.
     exited : asyncio.Event
-        Set when a planned stop is complete.
+        Set when a planned stop is complete or a failure stops the process.
+    failure : BaseException or None
+        Exception that stops the process.
     """
 
     def __init__(
@@ -94,17 +94,17 @@
         self._generation = Gauge(
             "shedsill_generation", "Configuration in force", registry=registry
         )
-        self._control_octets = Counter(
+        self._heartbeat_bytes = Counter(
             "shedsill_control_octets", "Octets of heartbeats sent", registry=registry
         )
 
     @property
     def now(self) -> float:
-        """Seconds on the monotonic clock."""
+        """Time on the monotonic clock, in seconds."""
         return asyncio.get_running_loop().time()
 
     def draw_seed(self) -> int:
-        """Draw a seed for an event."""
+        """Return a random seed for an event."""
         return self._random.getrandbits(32)
 
     async def on_start(self) -> None:
@@ -122,7 +122,7 @@
         self.write_log(WriteLog(event=LogEvent.NODE_STARTED, fields=fields))
 
     async def on_stop(self) -> None:
-        """Close sockets and end tasks."""
+        """Close sockets and cancel tasks."""
         for task in list(self._tasks):
             task.cancel()
         if self._transport is not None:
@@ -137,7 +137,7 @@
             await asyncio.sleep(TICK_INTERVAL_SECONDS)
 
     def dispatch(self, event: Event) -> None:
-        """Reduce an event, and whatever events its effects lead to."""
+        """Reduce an event and those that its effects dispatch."""
         self._events.append(event)
         if self._dispatching:
             return
@@ -156,7 +156,7 @@
             self._dispatching = False
 
     def _fail(self, error: Exception) -> None:
-        """Stop the process: whatever escapes a reducer breaks an invariant."""
+        """Stop the process after an unexpected exception."""
         self.failure = error
         fields = {"error": f"{type(error).__name__}: {error}"}
         self.write_log(WriteLog(event=LogEvent.INVARIANT_BROKEN, fields=fields))
@@ -173,12 +173,12 @@
         self.dispatch(FrameReceived(frame=frame, source=source, now=self.now))
 
     def execute(self, effect: Effect) -> None:
-        """Carry out an effect that every role has."""
+        """Execute an effect that both roles have."""
         match effect:
             case Send(destination=destination, frame=frame):
                 envelope = encode_frame(self.keys, frame)
                 if isinstance(frame, Heartbeat):
-                    self._control_octets.inc(len(envelope))
+                    self._heartbeat_bytes.inc(len(envelope))
                 self.send_envelope(destination, envelope)
             case WriteLog():
                 self.write_log(effect)
@@ -190,21 +190,21 @@
                 self.write_log(WriteLog(event=LogEvent.NODE_STOPPED, fields={}))
                 self.exited.set()
             case _:
-                raise InvariantError(f"no way to carry out {type(effect).__name__}")
+                raise InvariantError(f"unhandled effect {type(effect).__name__}")
 
     def send_envelope(self, destination: Address, envelope: bytes) -> None:
-        """Send encoded bytes to another node."""
+        """Send an encoded frame to another node."""
         if self._transport is not None and not self._transport.is_closing():
             self._transport.sendto(envelope, destination.pair)
 
     def write_log(self, entry: WriteLog) -> None:
-        """Log and count a note."""
+        """Log and count an event."""
         if entry.event == LogEvent.CONFIGURATION_APPLIED:
             self._generation.set(entry.fields["generation"])
         self.event_log.write(entry, self.now)
 
     def start_task(self, coroutine: Coroutine[Any, Any, None]) -> asyncio.Task:
-        """Run a coroutine beside the loop; it ends with the service."""
+        """Run a coroutine as a task, which is cancelled when the service stops."""
         task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._end_task)
@@ -233,7 +233,7 @@
         self.dispatch(ConfigurationOffered(configuration=configuration, now=self.now))
 
     async def fetch_configuration(self, peer: Address) -> Configuration | None:
-        """Ask a peer for its configuration."""
+        """Fetch a peer's configuration; return None on failure."""
         assert self.http is not None
         try:
             async with self.http.get(f"http://{peer}/peer/configuration") as response:
@@ -243,12 +243,12 @@
             return None
 
     def request_stop(self) -> None:
-        """Begin a planned stop."""
+        """Start a planned stop."""
         self.dispatch(StopRequested(now=self.now))
 
 
 def enlarge_buffers(transport: asyncio.DatagramTransport) -> None:
-    """Ask for socket buffers that hold a burst of datagrams."""
+    """Enlarge a socket's buffers, to hold a burst of datagrams."""
     sock = transport.get_extra_info("socket")
     if sock is None:
         return
--- a/shedsill/http3/_runtime/exchange.py
+++ b/shedsill/http3/_runtime/exchange.py
@@ -1,4 +1,4 @@
-"""One request between its arrival and its final answer, as the runtime sees it."""
+"""Requests in progress, and the conversion of their headers and bodies."""
 
 from __future__ import annotations
 
@@ -27,12 +27,14 @@
 
 @define(eq=False)
 class Body:
-    """A request body on its way to the upstream, bounded by flow control.
+    """A request body that is being received; flow control bounds its size.
 
     Attributes
     ----------
     on_read : callable
-        Called when the reader has taken a part, so that the window can move.
+        Called when a part has been read, so that the flow control window can move.
+    ended, aborted : bool
+        Whether the whole body has arrived, or its rest never will.
     """
 
     on_read: Callable[[], None] = field(default=lambda: None)
@@ -43,7 +45,7 @@
     _more: asyncio.Event = field(factory=asyncio.Event)
 
     def append(self, data: bytes, *, ended: bool) -> None:
-        """Take in a part."""
+        """Append a received part."""
         if data:
             self._parts.append(data)
             self.buffered_bytes += len(data)
@@ -51,16 +53,16 @@
         self._more.set()
 
     def abort(self) -> None:
-        """Note that the rest will not come."""
+        """Mark the body as incomplete: its rest is never received."""
         self.aborted = True
         self._more.set()
 
     def get_buffered(self) -> bytes:
-        """Return what is held, without taking it."""
+        """Return the buffered bytes, without removing them."""
         return b"".join(self._parts)
 
     async def iterate(self) -> AsyncIterator[bytes]:
-        """Yield parts as they come; ends with the body, or raises if cut."""
+        """Yield parts as they arrive; raises ConnectionResetError if aborted."""
         while True:
             while self._parts:
                 part = self._parts.popleft()
@@ -68,7 +70,7 @@
                 self.on_read()
                 yield part
             if self.aborted:
-                raise ConnectionResetError("the caller's body was cut")
+                raise ConnectionResetError("the request body is incomplete")
             if self.ended:
                 return
             self._more.clear()
@@ -77,18 +79,20 @@
 
 @define(eq=False)
 class Exchange:
-    """A request and what the runtime keeps for it.
+    """A request and its runtime state.
 
     Attributes
     ----------
     number : int
         As in `shedsill.http3._events.RequestArrived`.
     flow, stream : int
-        Where it came from; -1 where another agent passed it on.
+        Origin of the request; -1 if another agent forwarded it.
     dispatched : bool
-        Whether the reducer knows of it.
+        Whether the request has been dispatched to the reducer.
     reply_future : asyncio.Future or None
-        Where a passed request's answer goes.
+        Receives the answer to a request that another agent forwarded.
+    task : asyncio.Task or None
+        Sends the request to the upstream or to another agent.
     """
 
     number: int
@@ -105,14 +109,14 @@
 
     @property
     def idempotency_key(self) -> str:
-        """Text of ``Idempotency-Key``; a structured string loses its quotes."""
+        """Value of ``Idempotency-Key``, without the quotes of a structured string."""
         for header in self.headers:
             if header.name == "idempotency-key":
                 return header.value.strip().strip('"')
         return ""
 
     def can_be_dispatched(self) -> bool:
-        """Whether the body is whole, or longer than what is held back."""
+        """Whether the body is complete or exceeds the buffer limit."""
         return self.body.ended or self.body.buffered_bytes >= MAX_BUFFERED_BODY_BYTES
 
     def make_fingerprint(self) -> bytes:
@@ -131,7 +135,7 @@
 def split_headers(
     pairs: list[tuple[bytes, bytes]],
 ) -> tuple[dict[str, str], tuple[Header, ...]]:
-    """Split an HTTP/3 header list into pseudo-headers and fields."""
+    """Split an HTTP/3 header list into pseudo-headers and other fields."""
     pseudo: dict[str, str] = {}
     fields: list[Header] = []
     for raw_name, raw_value in pairs:
@@ -145,15 +149,15 @@
 
 
 def encode_latin1(text: str) -> bytes:
-    """Encode a header's name or value, held as one character an octet."""
+    """Encode a header name or value that has one character per byte."""
     return text.encode("latin-1")
 
 
 def decode_aiohttp_text(text: str) -> str:
-    """Turn text that aiohttp has read into one character an octet."""
+    """Convert header text from aiohttp into text with one character per byte."""
     return text.encode("utf-8", "surrogateescape").decode("latin-1")
 
 
 def encode_aiohttp_text(text: str) -> str:
-    """Turn one character an octet into text that aiohttp can write."""
+    """Convert text with one character per byte into header text for aiohttp."""
     return encode_latin1(text).decode("utf-8", "replace")
--- a/shedsill/http3/_runtime/flows.py
+++ b/shedsill/http3/_runtime/flows.py
@@ -1,4 +1,4 @@
-"""The QUIC connections of an agent, and the requests on them."""
+"""QUIC connections of an agent, and the requests on them."""
 
 from __future__ import annotations
 
@@ -49,14 +49,18 @@
 
 @define(eq=False)
 class Flow:
-    """One connection.
+    """A QUIC connection.
 
     Attributes
     ----------
     reply_to : Address
-        The balancer that last delivered a datagram of it.
+        Balancer that delivered the latest datagram of the connection.
+    cids : set of bytes
+        Connection IDs that callers may use to address the connection.
     exchanges : dict of int to Exchange
-        Requests not yet answered, by stream.
+        Unanswered requests, by stream.
+    timer_at : float or None
+        Time for which `timer` is set.
     """
 
     number: int
@@ -71,22 +75,24 @@
 
 @define(eq=False)
 class FlowCallbacks:
-    """What the flow table calls back.
+    """Callbacks of a flow table.
 
     Attributes
     ----------
-    send : callable
+    send_datagram : callable
         Sends a datagram to a caller through a balancer.
-    opened, closed : callable
-        A flow's number.
-    arrived : callable
-        An exchange that can be decided on.
-    cancelled : callable
-        An exchange and whether its caller said so.
-    lost : callable
-        A packet for no flow: caller, datagram, balancer.
-    failed : callable
-        A flow's number and what QUIC raised on one of its datagrams.
+    on_opened, on_closed : callable
+        Called with a flow's number.
+    on_request : callable
+        Called with an exchange that is ready to be dispatched.
+    on_cancelled : callable
+        Called with an exchange, and whether its caller cancelled it rather than the
+        connection ending.
+    on_unknown_flow : callable
+        Called with the caller, datagram and balancer of a packet that belongs to no
+        flow.
+    on_failed : callable
+        Called with a flow's number and the exception raised while processing it.
     """
 
     send_datagram: Callable[[Address, bytes, Address], None]
@@ -99,7 +105,7 @@
 
 
 class FlowTable:
-    """All connections of one agent."""
+    """All QUIC connections of an agent."""
 
     def __init__(
         self, id_generator: ConnectionIdGenerator, callbacks: FlowCallbacks
@@ -115,7 +121,7 @@
         self.configuration: QuicConfiguration | None = None
 
     def deliver(self, effect: Deliver) -> None:
-        """Hand a datagram to its connection, or open one."""
+        """Pass a datagram to its connection, which is opened if necessary."""
         header = pull_quic_header(
             Buffer(data=effect.datagram), host_cid_length=CONNECTION_ID_LENGTH
         )
@@ -133,7 +139,7 @@
 
     @contextlib.contextmanager
     def _close_on_error(self, flow: Flow) -> Iterator[None]:
-        """End one flow, not the agent, on whatever its packets set off."""
+        """Close the flow on any exception, so that the agent goes on."""
         try:
             yield
         except Exception as error:
@@ -209,7 +215,7 @@
         self._callbacks.send_datagram(effect.caller, packet, effect.reply_to)
 
     def require_retry(self, effect: RequireRetry) -> None:
-        """Answer an Initial with a Retry whose ID leads back here."""
+        """Answer an Initial with a Retry packet whose ID routes to this agent."""
         header = pull_quic_header(
             Buffer(data=effect.datagram), host_cid_length=CONNECTION_ID_LENGTH
         )
@@ -230,7 +236,7 @@
         self._callbacks.send_datagram(effect.caller, packet, effect.reply_to)
 
     def refuse_flow(self, caller: Address, datagram: bytes, reply_to: Address) -> None:
-        """Answer an Initial with a refusal."""
+        """Answer an Initial by refusing the connection."""
         self._callbacks.send_datagram(caller, make_refusal_packet(datagram), reply_to)
 
     def send_stateless_reset(
@@ -243,7 +249,7 @@
             self._callbacks.send_datagram(caller, packet, reply_to)
 
     def move_reply_path(self, old: Address, new: Address) -> None:
-        """Send replies through another balancer, and say something at once."""
+        """Send replies through another balancer, starting with a ping."""
         for flow in list(self.flows.values()):
             if flow.reply_to == old:
                 flow.reply_to = new
@@ -258,7 +264,7 @@
                 self.transmit(flow)
 
     def send_keepalives(self) -> None:
-        """Ping callers with open requests, so that silent streams stay up."""
+        """Ping callers with open requests, so that idle streams are not timed out."""
         for flow in list(self.flows.values()):
             if flow.exchanges and not flow.quic.is_ended():
                 flow.quic.send_ping(0)
@@ -358,7 +364,7 @@
         self._callbacks.on_closed(flow.number)
 
     def transmit(self, flow: Flow) -> None:
-        """Send what a connection has to send and set its timer."""
+        """Send a connection's pending datagrams and set its timer."""
         now = self._loop.time()
         for data, address in flow.quic.datagrams_to_send(now=now):
             caller = Address(address[0], address[1])
@@ -390,7 +396,7 @@
         *,
         ended: bool = False,
     ) -> None:
-        """Send the head of an answer."""
+        """Send the status and headers of an answer."""
         flow = self._find_open_flow(exchange)
         if flow is None or flow.http is None:
             return
@@ -404,7 +410,7 @@
             self.transmit(flow)
 
     def send_body(self, exchange: Exchange, data: bytes, *, ended: bool) -> None:
-        """Send part of an answer."""
+        """Send a part of an answer's body."""
         flow = self._find_open_flow(exchange)
         if flow is None or flow.http is None:
             return
@@ -413,12 +419,12 @@
             self.transmit(flow)
 
     async def wait_for_send_buffer(self, exchange: Exchange) -> None:
-        """Wait while a caller is far behind with taking its answer."""
+        """Wait until a stream's send buffer is below its limit."""
         while (flow := self._find_open_flow(exchange)) is not None:
             if flow.quic.count_unsent_bytes(exchange.stream) < MAX_UNSENT_BYTES:
                 return
             await asyncio.sleep(SEND_BUFFER_POLL_SECONDS)
-        raise ConnectionResetError("the caller is gone")
+        raise ConnectionResetError("the caller's connection has ended")
 
     def reset_stream(self, exchange: Exchange) -> None:
         """Reset a stream whose answer cannot be completed."""
@@ -431,7 +437,7 @@
         self.drop_exchange(exchange)
 
     def drop_exchange(self, exchange: Exchange) -> None:
-        """Drop an exchange that is over."""
+        """Remove a completed exchange."""
         flow = self.flows.get(exchange.flow)
         if flow is not None:
             flow.exchanges.pop(exchange.stream, None)
--- a/shedsill/http3/_runtime/log.py
+++ b/shedsill/http3/_runtime/log.py
@@ -1,8 +1,8 @@
-"""Log lines and event counters, one for each `WriteLog`.
+"""Log lines and event counters of `WriteLog` effects.
 
-Each event is counted.  Lines below the level that the operator set are not
-written; of TRACE and DEBUG lines one in `sample` is; and no event writes more
-than `MAX_LINES_PER_SECOND`, so that a flood of bad packets cannot flood the log.
+Every event is counted.  Lines below the configured level are not written, and one in
+`sample` of the TRACE and DEBUG lines is.  Each event writes at most
+`MAX_LINES_PER_SECOND`, so that a flood of bad packets cannot flood the log.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 def configure_logging(*, level: str, as_json: bool) -> None:
-    """Send log lines to standard error, as text or as JSON lines."""
+    """Write log lines to standard error, as text or as JSON lines."""
     logger.remove()
     if as_json:
         logger.add(_write_json, level=level, format="{message}")
@@ -47,7 +47,7 @@
 
 @define
 class _RateLimit:
-    """Lines written and left out for one event in the current second."""
+    """Rate limit of one event's lines: those written in the current second."""
 
     window_second: int = 0
     lines_written: int = 0
@@ -56,7 +56,7 @@
 
 @define
 class EventLog:
-    """Writes and counts notes for one node."""
+    """Writes and counts the log events of a node."""
 
     node: str
     level: str = "INFO"
@@ -80,7 +80,7 @@
                 self._written.add(event)
 
     def write(self, entry: WriteLog, now: float) -> None:
-        """Count a note and write its line, where it is wanted."""
+        """Count an event and write its line, if its level and rate allow it."""
         self._counters[entry.event].inc()
         if entry.event not in self._written:
             return
@@ -93,7 +93,7 @@
         bound.log(definition.level.value, definition.text)
 
     def count(self, event: LogEvent) -> int:
-        """Return how often an event has happened."""
+        """Return how often an event has occurred."""
         return int(self._counters[event]._value.get())
 
     def _is_within_limit(self, event: LogEvent, now: float) -> bool:
--- a/shedsill/http3/_runtime/peers.py
+++ b/shedsill/http3/_runtime/peers.py
@@ -1,4 +1,4 @@
-"""Calls from one agent to another over HTTP."""
+"""HTTP client for other agents."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 @frozen
 class PeerClient:
-    """Sends requests and records to other agents."""
+    """Sends requests and outcome records to other agents."""
 
     http: aiohttp.ClientSession
     keys: KeyRing
@@ -35,7 +35,7 @@
     async def forward_request(
         self, peer: Address, request: PeerRequest
     ) -> tuple[RecordedAnswer | None, bool]:
-        """Return the peer's answer, or None and whether it has not taken it."""
+        """Return the answer, or None and whether the peer rejected the request."""
         url = f"http://{peer}{PEER_REQUEST_PATH}"
         limit = aiohttp.ClientTimeout(
             total=PEER_ANSWER_TIMEOUT_SECONDS, sock_connect=PEER_CONNECT_TIMEOUT_SECONDS
@@ -52,7 +52,7 @@
             return None, False
 
     async def hand_over(self, peer: Address, handover: Handover) -> bool:
-        """Hand a record over; return whether the successor says it has it."""
+        """Send outcome records; return whether the successor confirmed them."""
         url = f"http://{peer}{PEER_HANDOVER_PATH}"
         data = encode_handover(self.keys, handover)
         try:
--- a/shedsill/http3/_runtime/platform.py
+++ b/shedsill/http3/_runtime/platform.py
@@ -1,4 +1,4 @@
-"""The platform's object API over HTTP."""
+"""HTTP client for the platform's object API."""
 
 from __future__ import annotations
 
@@ -34,15 +34,14 @@
 
 
 class HttpPlatform:
-    """A client of the platform's service.
+    """Client for the platform's object API.
 
     Parameters
     ----------
     url : str
-        Root of the API, without a slash at the end.
+        Base URL of the API.
     timeout : float
-        Seconds for an answer to begin and for each further part of it; a watch has
-        its patience on top.
+        Timeout in seconds for connecting and for each read; a watch adds its own.
     """
 
     def __init__(self, url: str, *, timeout: float = CALL_TIMEOUT_SECONDS) -> None:
@@ -56,18 +55,18 @@
             await self._session.close()
 
     async def call(self, call: Call) -> Outcome:
-        """Carry out one call; failures come back as `Unavailable`."""
-        writes = isinstance(call, (Put, Delete))
+        """Execute a call; failures are returned as `Unavailable`."""
+        is_write = isinstance(call, (Put, Delete))
         try:
             return await self._send(call)
         except aiohttp.ClientConnectorError as error:
             return Unavailable(reason=str(error))
         except (TimeoutError, aiohttp.ClientError, OSError) as error:
             reason = f"{type(error).__name__} {error}"
-            return Unavailable(reason=reason, perhaps_applied=writes)
+            return Unavailable(reason=reason, perhaps_applied=is_write)
         except (ValueError, KeyError, TypeError) as error:
-            reason = f"unusable answer: {error}"
-            return Unavailable(reason=reason, perhaps_applied=writes)
+            reason = f"invalid response: {error}"
+            return Unavailable(reason=reason, perhaps_applied=is_write)
 
     async def _send(self, call: Call) -> Outcome:
         match call:
--- a/shedsill/http3/_runtime/quic.py
+++ b/shedsill/http3/_runtime/quic.py
@@ -1,8 +1,8 @@
-"""QUIC connections whose connection IDs carry a route.
+"""QUIC connections whose connection IDs encode a route.
 
-aioquic mints random connection IDs and raises flow control windows without
-regard to the reader.  The subclass here replaces both; it touches private
-members of the pinned version, which `shedsill/tests/test_quic.py` checks.
+aioquic generates random connection IDs and extends flow control windows even if the
+data is not read.  The subclass replaces both, using private members of the pinned
+version that `shedsill/tests/test_quic.py` checks.
 """
 
 from __future__ import annotations
@@ -44,14 +44,20 @@
 
 @frozen(kw_only=True)
 class ConnectionIdGenerator:
-    """Makes connection IDs and the reset tokens that belong to them."""
+    """Generates connection IDs and their stateless reset tokens."""
 
     generate: Callable[[], bytes]
     make_reset_token: Callable[[bytes], bytes]
 
 
 class RoutedConnection(QuicConnection):
-    """A server connection with minted IDs and windows that follow the reader."""
+    """A server connection with routed IDs and windows that follow the reader.
+
+    Attributes
+    ----------
+    unread_bytes : dict of int to int
+        Received bytes that the reader has not consumed, by stream.
+    """
 
     def __init__(
         self,
@@ -81,7 +87,7 @@
         self._local_initial_source_connection_id = cid
 
     def _serialize_transport_parameters(self) -> bytes:
-        """Announce the largest datagram that still fits into one frame."""
+        """Add the largest datagram size that fits into one frame."""
         parameter = encode_uint_var(MAX_UDP_PAYLOAD_PARAMETER_ID)
         value = encode_uint_var(MAX_UDP_PAYLOAD_BYTES)
         parameter += encode_uint_var(len(value)) + value
@@ -95,13 +101,13 @@
             entry.stateless_reset_token = self._id_generator.make_reset_token(entry.cid)
 
     def _write_stream_limits(self, builder, space, stream) -> None:
-        """Grant what the reader has taken plus one window, not ever more."""
+        """Limit a stream to one window beyond what the reader has consumed."""
         stream_id = stream.stream_id
         if stream_id & CLIENT_BIDIRECTIONAL or stream_id not in self.unread_bytes:
             super()._write_stream_limits(builder, space, stream)
             return
-        taken = stream.receiver.starting_offset() - self.unread_bytes[stream_id]
-        granted = taken + STREAM_WINDOW_BYTES
+        consumed = stream.receiver.starting_offset() - self.unread_bytes[stream_id]
+        granted = consumed + STREAM_WINDOW_BYTES
         if granted < stream.max_stream_data_local + STREAM_WINDOW_BYTES // 4:
             granted = stream.max_stream_data_local
         stream.max_stream_data_local = granted
@@ -118,7 +124,7 @@
         stream.max_stream_data_local_sent = granted
 
     def count_unsent_bytes(self, stream_id: int) -> int:
-        """Return how many octets of a stream wait to be sent or acknowledged."""
+        """Return the bytes of a stream that are not yet sent or acknowledged."""
         stream = self._streams.get(stream_id)
         if stream is None:
             return 0
@@ -130,7 +136,7 @@
 
 
 def make_quic_configuration() -> QuicConfiguration:
-    """Return the settings of a server connection, without a certificate."""
+    """Return the configuration of a server connection, without a certificate."""
     return QuicConfiguration(
         alpn_protocols=["h3"],
         connection_id_length=CONNECTION_ID_LENGTH,
@@ -142,7 +148,7 @@
 
 
 def send_goaway(http: H3Connection, quic: QuicConnection) -> None:
-    """Tell a caller not to open further requests on this connection."""
+    """Send GOAWAY, so that the caller opens no further requests."""
     last = max(
         (sid for sid in quic._streams if not sid & CLIENT_BIDIRECTIONAL), default=0
     )
@@ -152,7 +158,7 @@
 
 
 def make_refusal_packet(datagram: bytes) -> bytes:
-    """Return the Initial packet that refuses the connection of another."""
+    """Return the Initial packet that answers another one with CONNECTION_REFUSED."""
     header = pull_quic_header(
         Buffer(data=datagram), host_cid_length=CONNECTION_ID_LENGTH
     )
@@ -181,7 +187,10 @@
 def make_stateless_reset(
     token: bytes, *, size: int, random_bytes: Callable[[int], bytes]
 ) -> bytes | None:
-    """Return a stateless reset smaller than the packet that it answers."""
+    """Return a stateless reset that is smaller than the packet it answers.
+
+    Returns None if that would be too small for a stateless reset.
+    """
     length = min(size - 1, MAX_RESET_SIZE)
     if length < MIN_RESET_SIZE:
         return None
--- a/shedsill/http3/_runtime/upstream.py
+++ b/shedsill/http3/_runtime/upstream.py
@@ -1,4 +1,4 @@
-"""Calls to the upstream over HTTP/1.1."""
+"""HTTP/1.1 client for the upstream."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 @frozen(kw_only=True)
 class BufferedAnswer:
-    """The whole answer, held back until it was complete; `shed` if not run."""
+    """A complete answer; `shed` if the upstream did not run the request."""
 
     answer: RecordedAnswer
     shed: bool
@@ -35,12 +35,12 @@
 
 @frozen(kw_only=True)
 class RelayedAnswer:
-    """The whole answer went to the caller as it came."""
+    """The complete answer was relayed to the caller."""
 
 
 @frozen(kw_only=True)
 class FailedCall:
-    """No whole answer came; `sent` if a byte may have reached the upstream."""
+    """No complete answer; `sent` if a byte may have reached the upstream."""
 
     sent: bool
     reason: str
@@ -50,33 +50,35 @@
 
 
 class Relay(Protocol):
-    """Where an answer goes that is not held back."""
+    """Receiver of an answer that is not buffered."""
 
-    def begin(self, status: int, headers: tuple[Header, ...]) -> None:
-        """Send the head of the answer."""
+    def start(self, status: int, headers: tuple[Header, ...]) -> None:
+        """Send the status and headers of the answer."""
         ...
 
     async def write(self, data: bytes) -> None:
-        """Send a part; waits while the caller is slower than the upstream."""
+        """Send a part of the body; waits while the caller is too slow."""
         ...
 
     def end(self) -> None:
-        """Send the end of the answer."""
+        """End the answer."""
         ...
 
 
 class UpstreamClient:
-    """Sends requests to one upstream; never retries by itself.
+    """Sends requests to one upstream, without retries.
 
-    Each request has a connection of its own.  A pooled connection that the
-    upstream closed just then could not be told from a request that ran.
+    Each request has its own connection: if a pooled connection were closed, it would
+    be unknown whether the request had run.
 
     Parameters
     ----------
     url : str
-        Root of the upstream, without a slash at the end.
+        Base URL of the upstream.
     shed_statuses : frozenset of int
-        Statuses by which the upstream says that it did not run a request.
+        Response statuses that mean that the upstream did not run the request.
+    load_path : str
+        Path of the upstream's load endpoint.
     """
 
     def __init__(
@@ -106,7 +108,7 @@
             await self._session.close()
 
     async def read_load(self) -> int | None:
-        """Return how many requests the upstream says it works on."""
+        """Return the number of running requests that the upstream reports, if any."""
         assert self._session is not None
         limit = aiohttp.ClientTimeout(total=LOAD_TIMEOUT_SECONDS)
         try:
@@ -122,7 +124,7 @@
     async def send(
         self, exchange: Exchange, *, buffered: bool, make_relay: Callable[[], Relay]
     ) -> UpstreamResult:
-        """Send a request and collect or relay its answer."""
+        """Send a request and buffer or relay its answer."""
         assert self._session is not None
         body = exchange.body
         data = body.get_buffered() if body.ended else body.iterate()
@@ -164,13 +166,13 @@
             if name.lower() not in HOP_BY_HOP_HEADERS
         )
         if not _is_framed(response):
-            return FailedCall(sent=True, reason="the answer's end cannot be told")
+            return FailedCall(sent=True, reason="the response has no framing")
         parts: list[bytes] = []
         size = 0
         relay = None
         if not buffered and response.status not in self.shed_statuses:
             relay = make_relay()
-            relay.begin(response.status, headers)
+            relay.start(response.status, headers)
         async for part in response.content.iter_any():
             if relay is not None:
                 await relay.write(part)
@@ -179,7 +181,7 @@
             size += len(part)
             if size > MAX_RECORDED_BODY_BYTES:
                 relay = make_relay()
-                relay.begin(response.status, headers)
+                relay.start(response.status, headers)
                 await relay.write(b"".join(parts))
                 parts.clear()
         if relay is not None:
@@ -192,7 +194,7 @@
 
 
 def _is_framed(response: aiohttp.ClientResponse) -> bool:
-    """Whether a cut answer could be told from a whole one."""
+    """Whether a truncated response can be detected."""
     if response.method == "HEAD" or response.status in (204, 304):
         return True
     encoding = response.headers.get("Transfer-Encoding", "").lower()
