--- a/shedsill/tests/test_admission.py
+++ b/shedsill/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Slots, queues, the breaker and the retry budget."""
+"""Admission control: slots, queues, the circuit breaker and the retry budget."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
     return Admission(slots=2, queue_limit=8, stream_limit=10, **options)
 
 
-def test_dropping_twice_frees_one_slot() -> None:
+def test_dropping_a_request_twice_frees_one_slot() -> None:
     admission = start_request(make_admission(), make_request(1), 0.0)
     admission = start_request(admission, make_request(2), 0.0)
     request = admission.requests[1]
@@ -64,7 +64,7 @@
     assert count_free_slots(admission, 1.3) == 2
 
 
-def test_no_slot_is_used_until_the_upstream_has_shown_itself_idle() -> None:
+def test_no_slot_is_used_until_the_upstream_is_idle() -> None:
     admission = make_admission(slots_available_at=30.0)
     for now, busy in ((0.0, 0), (0.5, 1), (0.6, 0), (1.2, 0)):
         admission = record_upstream_load(admission, busy, now)
@@ -94,30 +94,30 @@
     )
 
 
-def test_class_with_least_at_work_goes_first() -> None:
+def test_class_with_fewest_running_requests_starts_first() -> None:
     admission = start_request(make_admission(), make_request(1), 0.0)
     for number, request_class in ((2, CLAIM), (3, UPLOAD)):
         admission = queue_request(admission, make_request(number, request_class))
     assert choose_next_request(admission, 0.0) == 3
 
 
-def test_what_cannot_start_in_time_is_refused_at_once() -> None:
+def test_request_that_cannot_start_in_time_is_refused() -> None:
     admission = evolve(make_admission(), service_time=4.0)
     for number in (1, 2):
         admission = start_request(admission, make_request(number), 0.0)
-    verdict = decide_admission(admission, make_request(3), 1, 0.0)
-    assert verdict.decision == AdmissionDecision.REFUSE
-    assert "in time" in verdict.reason
+    result = decide_admission(admission, make_request(3), 1, 0.0)
+    assert result.decision == AdmissionDecision.REFUSE
+    assert "in time" in result.reason
 
 
-def test_retry_after_follows_the_queue_and_is_jittered() -> None:
+def test_retry_after_depends_on_the_queue_and_is_jittered() -> None:
     admission = evolve(make_admission(), service_time=10.0)
-    answers = {get_retry_after(admission, 0.0, seed) for seed in range(1000)}
-    assert min(answers) == math.ceil(5.0)
-    assert len(answers) > 1
+    delays = {get_retry_after(admission, 0.0, seed) for seed in range(1000)}
+    assert min(delays) == math.ceil(5.0)
+    assert len(delays) > 1
 
 
-def test_retries_add_a_tenth_to_the_load_at_most() -> None:
+def test_retries_are_at_most_a_tenth_of_first_attempts() -> None:
     admission = make_admission()
     retries = 0
     for number in range(300):
@@ -128,13 +128,13 @@
     assert 25 <= retries <= 30
 
 
-def test_breaker_opens_tries_once_and_closes() -> None:
+def test_breaker_opens_half_opens_and_closes() -> None:
     settings = AdmissionSettings(breaker_failures=3, breaker_pause=2.0)
     admission = make_admission(settings=settings)
     for _ in range(3):
         admission = record_failure(admission, 0.0)
-    verdict = decide_admission(admission, make_request(1), 1, 1.0)
-    assert (verdict.decision, verdict.reason) == (
+    result = decide_admission(admission, make_request(1), 1, 1.0)
+    assert (result.decision, result.reason) == (
         AdmissionDecision.REFUSE,
         "upstream fails",
     )
--- a/shedsill/tests/test_faults.py
+++ b/shedsill/tests/test_faults.py
@@ -1,8 +1,8 @@
-"""The fault matrix: every fault at every step, through the real reducers.
+"""Fault matrix: every fault at every step, with the reducers of the nodes.
 
-Each cell brings a small system to a step, lets a fault strike, heals it, and
-then demands that the oracle holds, that every request on an unbroken flow has
-its answer, and that all nodes agree on one configuration.
+Each case brings a small system to a step, injects a fault and repairs it.  Then the
+oracle must hold, every request on an unbroken flow must be answered, and all nodes
+must have the same configuration.
 """
 
 from __future__ import annotations
@@ -23,19 +23,19 @@
 
 @define
 class Scenario:
-    """A world and the flow on which something is going on."""
+    """A simulated system and one of its flows."""
 
     world: World
     flow: CallerFlow
 
     @property
     def agent(self) -> str:
-        """The agent that has the flow."""
+        """Name of the agent that serves the flow."""
         return self.flow.agent or "d1"
 
 
 def make_scenario() -> Scenario:
-    """Return a world at rest with one open flow."""
+    """Return an idle system with one open flow."""
     world = World(seed=7)
     for name in BALANCERS:
         world.start_balancer(name)
@@ -48,259 +48,259 @@
     return Scenario(world, flow)
 
 
-def run_request(scene: Scenario, work: str, **options) -> Attempt:
-    """Send a request and let it finish."""
-    attempt = scene.world.send_request(scene.flow, work, **options)
-    scene.world.settle()
-    for run in scene.world.list_running():
-        scene.world.finish(run)
-    scene.world.settle()
+def run_request(scenario: Scenario, work: str, **options) -> Attempt:
+    """Send a request and finish all running requests."""
+    attempt = scenario.world.send_request(scenario.flow, work, **options)
+    scenario.world.settle()
+    for run in scenario.world.list_running():
+        scenario.world.finish(run)
+    scenario.world.settle()
     return attempt
 
 
-def apply_change(scene: Scenario, action: Action, target: str = "") -> None:
-    """Write a change."""
+def apply_change(scenario: Scenario, action: Action, target: str = "") -> None:
+    """Apply a `Change` resource."""
     name = f"{action.value}-{target or 'x'}"
-    scene.world.apply(Change(name=name, action=action, target=target))
+    scenario.world.apply(Change(name=name, action=action, target=target))
 
 
-def set_upstreams(scene: Scenario, names: tuple[str, ...]) -> None:
-    """Write the upstreams of the dispatcher."""
+def set_upstreams(scenario: Scenario, names: tuple[str, ...]) -> None:
+    """Apply the upstreams of the dispatcher service."""
     members = tuple(
-        Upstream(name=name, address=str(scene.world.nodes[name].address))
+        Upstream(name=name, address=str(scenario.world.nodes[name].address))
         for name in names
     )
     group = UpstreamSet(name="dispatcher", service="dispatcher", upstreams=members)
-    scene.world.apply(group)
+    scenario.world.apply(group)
 
 
-def step_first_packet(scene: Scenario) -> None:
-    scene.world.open_flow("dispatcher")
+def step_first_packet(scenario: Scenario) -> None:
+    scenario.world.open_flow("dispatcher")
 
 
-def step_first_packet_at_agent(scene: Scenario) -> None:
-    scene.world.open_flow("dispatcher")
-    scene.world.deliver(len(scene.world.messages) - 1)
+def step_first_packet_at_agent(scenario: Scenario) -> None:
+    scenario.world.open_flow("dispatcher")
+    scenario.world.deliver(len(scenario.world.messages) - 1)
 
 
-def step_request_sent(scene: Scenario) -> None:
-    scene.world.send_request(scene.flow, "w")
+def step_request_sent(scenario: Scenario) -> None:
+    scenario.world.send_request(scenario.flow, "w")
 
 
-def step_request_running(scene: Scenario) -> None:
-    scene.world.send_request(scene.flow, "w")
-    scene.world.settle()
+def step_request_running(scenario: Scenario) -> None:
+    scenario.world.send_request(scenario.flow, "w")
+    scenario.world.settle()
 
 
-def step_request_queued(scene: Scenario) -> None:
+def step_request_queued(scenario: Scenario) -> None:
     for index in range(4):
-        scene.world.send_request(scene.flow, f"w{index}")
-    scene.world.settle()
+        scenario.world.send_request(scenario.flow, f"w{index}")
+    scenario.world.settle()
 
 
-def step_answer_on_its_way(scene: Scenario) -> None:
-    step_request_running(scene)
-    scene.world.finish(scene.world.list_running()[0])
+def step_answer_on_its_way(scenario: Scenario) -> None:
+    step_request_running(scenario)
+    scenario.world.finish(scenario.world.list_running()[0])
 
 
-def step_answer_cut(scene: Scenario) -> None:
-    step_request_running(scene)
-    scene.world.finish(scene.world.list_running()[0], answered=False)
+def step_answer_cut(scenario: Scenario) -> None:
+    step_request_running(scenario)
+    scenario.world.finish(scenario.world.list_running()[0], answered=False)
 
 
-def step_deadline_passing(scene: Scenario) -> None:
+def step_deadline_passing(scenario: Scenario) -> None:
     for index in range(4):
-        scene.world.send_request(scene.flow, f"w{index}")
-    scene.world.settle(4.9, step=0.1)
+        scenario.world.send_request(scenario.flow, f"w{index}")
+    scenario.world.settle(4.9, step=0.1)
 
 
-def step_cancelled(scene: Scenario) -> None:
-    attempts = [scene.world.send_request(scene.flow, f"w{i}") for i in range(4)]
-    scene.world.settle()
-    scene.world.cancel_request(attempts[0])
-    scene.world.cancel_request(attempts[3])
+def step_cancelled(scenario: Scenario) -> None:
+    attempts = [scenario.world.send_request(scenario.flow, f"w{i}") for i in range(4)]
+    scenario.world.settle()
+    scenario.world.cancel_request(attempts[0])
+    scenario.world.cancel_request(attempts[3])
 
 
-def step_retry_while_running(scene: Scenario) -> None:
-    ticket = run_request(scene, "r", path="/read").ticket
-    scene.world.send_request(scene.flow, "w", key=ticket)
-    scene.world.settle()
-    other = scene.world.open_flow("dispatcher")
-    scene.world.settle(0.2)
-    scene.world.send_request(other, "w", key=ticket)
+def step_retry_while_running(scenario: Scenario) -> None:
+    ticket = run_request(scenario, "r", path="/read").ticket
+    scenario.world.send_request(scenario.flow, "w", key=ticket)
+    scenario.world.settle()
+    other = scenario.world.open_flow("dispatcher")
+    scenario.world.settle(0.2)
+    scenario.world.send_request(other, "w", key=ticket)
 
 
-def step_retry_when_done(scene: Scenario) -> None:
-    ticket = run_request(scene, "r", path="/read").ticket
-    run_request(scene, "w", key=ticket)
-    other = scene.world.open_flow("dispatcher")
-    scene.world.settle(0.2)
-    scene.world.send_request(other, "w", key=ticket)
+def step_retry_when_done(scenario: Scenario) -> None:
+    ticket = run_request(scenario, "r", path="/read").ticket
+    run_request(scenario, "w", key=ticket)
+    other = scenario.world.open_flow("dispatcher")
+    scenario.world.settle(0.2)
+    scenario.world.send_request(other, "w", key=ticket)
 
 
-def step_drain_written(scene: Scenario) -> None:
-    scene.world.send_request(scene.flow, "s", path="/stream")
-    scene.world.settle()
-    apply_change(scene, Action.DRAIN, scene.agent)
+def step_drain_written(scenario: Scenario) -> None:
+    scenario.world.send_request(scenario.flow, "s", path="/stream")
+    scenario.world.settle()
+    apply_change(scenario, Action.DRAIN, scenario.agent)
 
 
-def step_drain_in_force(scene: Scenario) -> None:
-    step_drain_written(scene)
-    scene.world.settle(2.0)
+def step_drain_in_force(scenario: Scenario) -> None:
+    step_drain_written(scenario)
+    scenario.world.settle(2.0)
 
 
-def step_drain_ending(scene: Scenario) -> None:
-    ticket = run_request(scene, "r", path="/read").ticket
-    run_request(scene, "w", key=ticket)
-    scene.world.stop(scene.agent)
-    scene.world.settle(0.2)
+def step_drain_ending(scenario: Scenario) -> None:
+    ticket = run_request(scenario, "r", path="/read").ticket
+    run_request(scenario, "w", key=ticket)
+    scenario.world.stop(scenario.agent)
+    scenario.world.settle(0.2)
 
 
-def step_balancer_stopping(scene: Scenario) -> None:
-    scene.world.stop("b1")
+def step_balancer_stopping(scenario: Scenario) -> None:
+    scenario.world.stop("b1")
 
 
-def step_upstream_joining(scene: Scenario) -> None:
-    set_upstreams(scene, ("d1", "d2"))
-    scene.world.settle(2.0)
-    set_upstreams(scene, ("d1", "d2", "d3"))
+def step_upstream_joining(scenario: Scenario) -> None:
+    set_upstreams(scenario, ("d1", "d2"))
+    scenario.world.settle(2.0)
+    set_upstreams(scenario, ("d1", "d2", "d3"))
 
 
-def step_apply_written(scene: Scenario) -> None:
-    apply_change(scene, Action.ROTATE_KEYS)
-    scene.world.advance(0.05)
+def step_apply_written(scenario: Scenario) -> None:
+    apply_change(scenario, Action.ROTATE_KEYS)
+    scenario.world.advance(0.05)
 
 
-def step_apply_half_spread(scene: Scenario) -> None:
-    apply_change(scene, Action.ROTATE_KEYS)
+def step_apply_half_spread(scenario: Scenario) -> None:
+    apply_change(scenario, Action.ROTATE_KEYS)
     for _ in range(6):
-        scene.world.advance(0.05)
-        for _ in range(min(3, len(scene.world.messages))):
-            scene.world.deliver(0)
+        scenario.world.advance(0.05)
+        for _ in range(min(3, len(scenario.world.messages))):
+            scenario.world.deliver(0)
 
 
-def step_agent_restarted(scene: Scenario) -> None:
-    scene.world.send_request(scene.flow, "w")
-    scene.world.settle()
-    agent = scene.agent
-    scene.world.kill(agent)
-    scene.world.start_agent(agent)
+def step_agent_restarted(scenario: Scenario) -> None:
+    scenario.world.send_request(scenario.flow, "w")
+    scenario.world.settle()
+    agent = scenario.agent
+    scenario.world.kill(agent)
+    scenario.world.start_agent(agent)
 
 
-def step_join_in_outage(scene: Scenario) -> None:
-    scene.world.platform_down = True
-    scene.world.kill("b3")
-    scene.world.start_balancer("b3")
-    scene.world.advance(0.05)
+def step_join_in_outage(scenario: Scenario) -> None:
+    scenario.world.platform_down = True
+    scenario.world.kill("b3")
+    scenario.world.start_balancer("b3")
+    scenario.world.advance(0.05)
 
 
-def fault_none(scene: Scenario) -> None:
-    del scene
+def fault_none(scenario: Scenario) -> None:
+    del scenario
 
 
-def fault_kill_balancer(scene: Scenario) -> None:
-    scene.world.kill("b1")
-    scene.world.settle(1.0)
+def fault_kill_balancer(scenario: Scenario) -> None:
+    scenario.world.kill("b1")
+    scenario.world.settle(1.0)
 
 
-def fault_kill_all_balancers_but_one(scene: Scenario) -> None:
-    scene.world.kill("b1")
-    scene.world.kill("b2")
-    scene.world.settle(1.0)
+def fault_kill_all_balancers_but_one(scenario: Scenario) -> None:
+    scenario.world.kill("b1")
+    scenario.world.kill("b2")
+    scenario.world.settle(1.0)
 
 
-def fault_freeze_balancer(scene: Scenario) -> None:
-    scene.world.freeze("b1")
-    scene.world.settle(10.0, step=0.25)
-    scene.world.thaw("b1")
+def fault_freeze_balancer(scenario: Scenario) -> None:
+    scenario.world.freeze("b1")
+    scenario.world.settle(10.0, step=0.25)
+    scenario.world.thaw("b1")
 
 
-def fault_kill_agent(scene: Scenario) -> None:
-    scene.world.kill(scene.agent)
-    scene.world.settle(1.0)
+def fault_kill_agent(scenario: Scenario) -> None:
+    scenario.world.kill(scenario.agent)
+    scenario.world.settle(1.0)
 
 
-def fault_freeze_agent(scene: Scenario) -> None:
-    scene.world.freeze(scene.agent)
-    scene.world.settle(10.0, step=0.25)
-    scene.world.thaw(scene.agent)
+def fault_freeze_agent(scenario: Scenario) -> None:
+    scenario.world.freeze(scenario.agent)
+    scenario.world.settle(10.0, step=0.25)
+    scenario.world.thaw(scenario.agent)
 
 
-def fault_kill_upstream(scene: Scenario) -> None:
-    for run in scene.world.list_running():
-        if run.agent == scene.agent:
-            scene.world.finish(run, answered=False)
-    scene.world.settle(1.0)
+def fault_kill_upstream(scenario: Scenario) -> None:
+    for run in scenario.world.list_running():
+        if run.agent == scenario.agent:
+            scenario.world.finish(run, answered=False)
+    scenario.world.settle(1.0)
 
 
-def fault_freeze_upstream(scene: Scenario) -> None:
-    """Nothing that runs ends before every deadline has passed."""
-    scene.world.settle(8.0, step=0.1)
+def fault_freeze_upstream(scenario: Scenario) -> None:
+    """No running request ends before its deadline."""
+    scenario.world.settle(8.0, step=0.1)
 
 
-def fault_cut_agent(scene: Scenario) -> None:
-    scene.world.cut.add(scene.agent)
-    scene.world.settle(10.0, step=0.25)
+def fault_cut_agent(scenario: Scenario) -> None:
+    scenario.world.cut.add(scenario.agent)
+    scenario.world.settle(10.0, step=0.25)
 
 
-def fault_cut_balancer(scene: Scenario) -> None:
-    scene.world.cut.add("b1")
-    scene.world.settle(10.0, step=0.25)
+def fault_cut_balancer(scenario: Scenario) -> None:
+    scenario.world.cut.add("b1")
+    scenario.world.settle(10.0, step=0.25)
 
 
-def fault_platform_slow(scene: Scenario) -> None:
-    slow = [m for m in scene.world.messages if isinstance(m, PlatformMessage)]
-    scene.world.messages = [m for m in scene.world.messages if m not in slow]
-    scene.world.settle(3.0)
-    scene.world.messages += slow
+def fault_platform_slow(scenario: Scenario) -> None:
+    slow = [m for m in scenario.world.messages if isinstance(m, PlatformMessage)]
+    scenario.world.messages = [m for m in scenario.world.messages if m not in slow]
+    scenario.world.settle(3.0)
+    scenario.world.messages += slow
 
 
-def fault_platform_down(scene: Scenario) -> None:
-    scene.world.platform_down = True
-    scene.world.settle(8.0, step=0.25)
+def fault_platform_down(scenario: Scenario) -> None:
+    scenario.world.platform_down = True
+    scenario.world.settle(8.0, step=0.25)
 
 
-def fault_lost_answers(scene: Scenario) -> None:
-    scene.world.lose_answers = 3
+def fault_lost_answers(scenario: Scenario) -> None:
+    scenario.world.lose_answers = 3
 
 
-def fault_stale_reads(scene: Scenario) -> None:
-    scene.world.stale_lists = 3
+def fault_stale_reads(scenario: Scenario) -> None:
+    scenario.world.stale_lists = 3
 
 
-def fault_all_lost(scene: Scenario) -> None:
-    while scene.world.messages:
-        scene.world.lose(0)
+def fault_all_lost(scenario: Scenario) -> None:
+    while scenario.world.messages:
+        scenario.world.lose(0)
 
 
-def fault_all_doubled(scene: Scenario) -> None:
-    for index in range(len(scene.world.messages)):
-        scene.world.duplicate(index)
+def fault_all_doubled(scenario: Scenario) -> None:
+    for index in range(len(scenario.world.messages)):
+        scenario.world.duplicate(index)
 
 
-def fault_reversed(scene: Scenario) -> None:
-    scene.world.messages.reverse()
+def fault_reversed(scenario: Scenario) -> None:
+    scenario.world.messages.reverse()
 
 
-def fault_wrong_machine_list(scene: Scenario) -> None:
+def fault_wrong_machine_list(scenario: Scenario) -> None:
     for name in ("d1", "d2", "d3"):
-        scene.world.list_machine(name, leaving=name != scene.agent)
-    scene.world.settle(4.0)
+        scenario.world.list_machine(name, leaving=name != scenario.agent)
+    scenario.world.settle(4.0)
 
 
-def fault_lying_load(scene: Scenario) -> None:
-    for upstream in scene.world.upstreams.values():
+def fault_lying_load(scenario: Scenario) -> None:
+    for upstream in scenario.world.upstreams.values():
         upstream.lies_idle = True
 
 
-def fault_clock_jump(scene: Scenario) -> None:
-    scene.world.advance(300.0)
+def fault_clock_jump(scenario: Scenario) -> None:
+    scenario.world.advance(300.0)
 
 
-def fault_operators_race(scene: Scenario) -> None:
-    set_upstreams(scene, ("d1", "d2"))
-    set_upstreams(scene, ("d2", "d3"))
-    set_upstreams(scene, ("d1", "d2", "d3"))
+def fault_operators_race(scenario: Scenario) -> None:
+    set_upstreams(scenario, ("d1", "d2"))
+    set_upstreams(scenario, ("d2", "d3"))
+    set_upstreams(scenario, ("d1", "d2", "d3"))
 
 
 def _collect(prefix: str) -> dict[str, Callable[[Scenario], None]]:
@@ -318,76 +318,76 @@
 
 @pytest.mark.parametrize("fault", sorted(FAULTS))
 @pytest.mark.parametrize("step", sorted(STEPS))
-def test_promises_hold(step: str, fault: str) -> None:
-    scene = make_scenario()
-    STEPS[step](scene)
-    FAULTS[fault](scene)
-    scene.world.heal()
-    scene.world.check_end()
+def test_oracle_holds_after_fault(step: str, fault: str) -> None:
+    scenario = make_scenario()
+    STEPS[step](scenario)
+    FAULTS[fault](scenario)
+    scenario.world.heal()
+    scenario.world.check_end()
 
 
 @pytest.mark.parametrize("step", sorted(set(STEPS) - UNPLANNED_STEPS))
-def test_no_planned_step_breaks_a_flow(step: str) -> None:
-    scene = make_scenario()
-    STEPS[step](scene)
-    scene.world.retransmit()
-    scene.world.settle(20.0, step=0.25)
-    assert not any(flow.broken for flow in scene.world.flows)
-    attempt = run_request(scene, "after", path="/read")
+def test_planned_step_breaks_no_flow(step: str) -> None:
+    scenario = make_scenario()
+    STEPS[step](scenario)
+    scenario.world.retransmit()
+    scenario.world.settle(20.0, step=0.25)
+    assert not any(flow.broken for flow in scenario.world.flows)
+    attempt = run_request(scenario, "after", path="/read")
     assert attempt.outcome is not None
 
 
-def test_leaving_upstream_gets_no_new_work() -> None:
-    scene = make_scenario()
-    apply_change(scene, Action.DRAIN, scene.agent)
-    scene.world.settle(3.0)
-    configuration = scene.world.nodes["b1"].state.node.configuration
-    state = {u.name: u.state for u in configuration.upstreams}[scene.agent]
+def test_draining_upstream_gets_no_new_work() -> None:
+    scenario = make_scenario()
+    apply_change(scenario, Action.DRAIN, scenario.agent)
+    scenario.world.settle(3.0)
+    configuration = scenario.world.nodes["b1"].state.node.configuration
+    state = {u.name: u.state for u in configuration.upstreams}[scenario.agent]
     assert state == UpstreamState.DRAINING
-    attempt = run_request(scene, "late")
+    attempt = run_request(scenario, "late")
     assert attempt.outcome == RequestOutcome.NOT_RUN
     for _ in range(20):
-        scene.world.open_flow("dispatcher")
-    scene.world.settle(1.0)
-    placed = [flow.agent for flow in scene.world.flows[1:]]
+        scenario.world.open_flow("dispatcher")
+    scenario.world.settle(1.0)
+    placed = [flow.agent for flow in scenario.world.flows[1:]]
     assert "" not in placed
-    assert scene.agent not in placed
-
-
-def test_repeat_after_planned_leave_gets_the_recorded_answer() -> None:
-    scene = make_scenario()
-    ticket = run_request(scene, "r", path="/read").ticket
-    first = run_request(scene, "w", key=ticket)
-    leaver = scene.agent
-    process = scene.world.nodes[leaver]
-    scene.world.close_flow(scene.flow)
-    scene.world.stop(leaver)
-    scene.world.settle(4.0)
+    assert scenario.agent not in placed
+
+
+def test_repeat_after_planned_stop_gets_the_recorded_answer() -> None:
+    scenario = make_scenario()
+    ticket = run_request(scenario, "r", path="/read").ticket
+    first = run_request(scenario, "w", key=ticket)
+    stopped = scenario.agent
+    process = scenario.world.nodes[stopped]
+    scenario.world.close_flow(scenario.flow)
+    scenario.world.stop(stopped)
+    scenario.world.settle(4.0)
     assert process.exited
-    scene.flow = scene.world.open_flow("dispatcher")
-    scene.world.settle(0.5)
-    again = run_request(scene, "w", key=ticket)
+    scenario.flow = scenario.world.open_flow("dispatcher")
+    scenario.world.settle(0.5)
+    again = run_request(scenario, "w", key=ticket)
     assert (again.outcome, again.body) == (RequestOutcome.DONE, first.body)
 
 
 def test_configuration_accepted_before_an_outage_reaches_every_node() -> None:
-    scene = make_scenario()
-    apply_change(scene, Action.ROTATE_KEYS)
-    while max(scene.world.accepted) < 2:
-        scene.world.advance(0.05)
-        while scene.world.messages and max(scene.world.accepted) < 2:
-            scene.world.deliver(0)
-    scene.world.platform_down = True
-    scene.world.start_balancer("b4")
-    scene.world.settle(5.0)
-    nodes = scene.world.nodes.values()
+    scenario = make_scenario()
+    apply_change(scenario, Action.ROTATE_KEYS)
+    while max(scenario.world.accepted) < 2:
+        scenario.world.advance(0.05)
+        while scenario.world.messages and max(scenario.world.accepted) < 2:
+            scenario.world.deliver(0)
+    scenario.world.platform_down = True
+    scenario.world.start_balancer("b4")
+    scenario.world.settle(5.0)
+    nodes = scenario.world.nodes.values()
     assert {p.state.node.configuration.generation for p in nodes} == {2}
 
 
-def test_address_taken_over_by_another_service_serves_no_stray_packet() -> None:
-    """The VM of d1 goes; a new agent of intake starts at its address."""
-    scene = make_scenario()
-    world = scene.world
+def test_reused_address_serves_no_packet_of_its_previous_service() -> None:
+    """Guards against a reused address receiving packets of its previous service."""
+    scenario = make_scenario()
+    world = scenario.world
     stray = world.open_flow("dispatcher")
     while stray.agent != "d1":
         stray = world.open_flow("dispatcher")
@@ -400,7 +400,7 @@
     for _ in range(12):
         world.open_flow("dispatcher")
     world.settle(1.0)
-    set_upstreams(scene, ("d2", "d3"))
+    set_upstreams(scenario, ("d2", "d3"))
     members = tuple(
         Upstream(name=name, address=str(world.nodes[name].address))
         for name in ("i1", "i2", "i9")
@@ -410,12 +410,12 @@
     world.retransmit()
     world.settle(2.0)
     assert attempt.outcome is None
-    owners = {flow.caller_flow.service for flow in world.nodes["i9"].flows.values()}
-    assert owners <= {"intake"}
+    services = {flow.caller_flow.service for flow in world.nodes["i9"].flows.values()}
+    assert services <= {"intake"}
     flow = world.open_flow("intake")
     while flow.agent != "i9":
         flow = world.open_flow("intake")
         world.settle(0.2)
-    scene.flow = flow
-    assert run_request(scene, "right").outcome == RequestOutcome.DONE
+    scenario.flow = flow
+    assert run_request(scenario, "right").outcome == RequestOutcome.DONE
     stray.broken = True
--- a/shedsill/tests/test_flows.py
+++ b/shedsill/tests/test_flows.py
@@ -1,4 +1,4 @@
-"""What an agent does with a caller's first packets."""
+"""Placement of new flows by an agent."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def make_agent() -> AgentState:
-    """Return the agent of d1, upstream 1, with the configuration in force."""
+    """Return the agent of upstream 1 (d1) with a configuration."""
     node = Node(
         name="d1", address=Address("10.1.0.1", 7000), balancer=False, incarnation=1
     )
@@ -32,7 +32,7 @@
 
 
 def handle_initial(state: AgentState, *, passed: bool) -> list[type]:
-    """Give the agent a first packet; return the classes of its effects."""
+    """Have the agent handle an Initial packet; return the classes of its effects."""
     frame = ToUpstream(
         generation=1,
         service=1,
@@ -43,12 +43,12 @@
     )
     event = FrameReceived(frame=frame, source=BALANCER, now=2.0)
     _state, effects = reduce(state, event)
-    wanted = (Deliver, RefuseFlow, Send)
-    return [type(effect) for effect in effects if isinstance(effect, wanted)]
+    flow_effects = (Deliver, RefuseFlow, Send)
+    return [type(effect) for effect in effects if isinstance(effect, flow_effects)]
 
 
 @pytest.mark.parametrize(
-    ("passed", "leaving", "effect"),
+    ("passed", "draining", "effect"),
     [
         (False, False, Send),
         (True, False, Deliver),
@@ -56,12 +56,12 @@
         (True, True, RefuseFlow),
     ],
 )
-def test_flow_that_was_passed_on_is_never_passed_on_again(
-    passed: bool, leaving: bool, effect: type
+def test_forwarded_flow_is_not_forwarded_again(
+    passed: bool, draining: bool, effect: type
 ) -> None:
-    """The agent chose upstream 2 for this ID, and upstream 2 may have chosen it."""
+    """Guards against two agents that forward a flow to each other forever."""
     decisions = immutables.Map({CID: PlacementDecision(upstream=2, decided_at=1.9)})
     state = evolve(make_agent(), decisions=decisions)
-    if leaving:
+    if draining:
         state = evolve(state, drain=DrainProgress(started_at=1.0))
     assert handle_initial(state, passed=passed) == [effect]
--- a/shedsill/tests/test_process_faults.py
+++ b/shedsill/tests/test_process_faults.py
@@ -1,4 +1,4 @@
-"""The worst cells of the fault matrix, with real processes on loopback."""
+"""Selected cases of the fault matrix, with processes on loopback."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 SERVICE = "dispatcher"
 STREAM = "/stream?interval=0.05"
 MORE_BYTES = 60
-GARBAGE_COUNT = 200
+MALFORMED_DATAGRAMS = 200
 
 
 @pytest.fixture
@@ -37,7 +37,7 @@
 
 
 async def expect_progress(streams: list[Response]) -> None:
-    """Demand that each stream goes on from where it is."""
+    """Assert that each stream receives more bytes and is not cut."""
     for stream in streams:
         await wait_for_body(stream, len(stream.body) + MORE_BYTES)
         assert not stream.cut
@@ -47,12 +47,12 @@
     return [client.open("GET", STREAM)[1] for _ in range(count)]
 
 
-def name_upstream(response: Response) -> str:
+def get_upstream_name(response: Response) -> str:
     return response.body.split()[0].decode()
 
 
 def apply_upstreams(cluster: Cluster, name: str, leaving: bool) -> None:
-    """Take an upstream out of its set, or put it back as one that joins."""
+    """Apply the upstream sets, without one upstream if `leaving`."""
     documents = list(yaml.safe_load_all(cluster.documents))
     for document in documents:
         spec = document["spec"]
@@ -71,7 +71,7 @@
 
 
 def test_streams_survive_rolling_replacement(cluster: Cluster) -> None:
-    """Replace every balancer; an upstream drains, leaves and joins; keys rotate."""
+    """Replaces every balancer; an upstream drains, leaves and joins; keys rotate."""
 
     async def replace(name: str) -> None:
         await withdraw(cluster, name)
@@ -81,12 +81,12 @@
         await cluster.wait_ready(name)
         await withdraw(cluster)
 
-    async def use() -> None:
+    async def run() -> None:
         front = cluster.fronts[SERVICE]
         async with open_client(front) as one, open_client(front) as two:
             streams = open_streams(one, 2) + open_streams(two, 2)
             await expect_progress(streams)
-            drained = name_upstream(streams[0])
+            drained = get_upstream_name(streams[0])
             await asyncio.to_thread(cluster.run_command, "drain", "--no-wait", drained)
             for name in cluster.balancers:
                 await replace(name)
@@ -102,18 +102,18 @@
             claim = await client.request("POST", "/claim", body=b"after")
             assert claim.status == 200
 
-    asyncio.run(use())
+    asyncio.run(run())
 
 
-@pytest.mark.parametrize("blow", [signal.SIGKILL, signal.SIGSTOP])
-def test_streams_survive_a_dead_or_frozen_balancer(
-    cluster: Cluster, blow: signal.Signals
+@pytest.mark.parametrize("fault_signal", [signal.SIGKILL, signal.SIGSTOP])
+def test_streams_survive_a_killed_or_stopped_balancer(
+    cluster: Cluster, fault_signal: signal.Signals
 ) -> None:
-    async def use() -> None:
+    async def run() -> None:
         async with open_client(cluster.fronts[SERVICE]) as client:
             streams = open_streams(client, 2)
             await expect_progress(streams)
-            cluster.processes["balancer-1"].send(blow)
+            cluster.processes["balancer-1"].send(fault_signal)
             await expect_progress(streams)
             await withdraw(cluster, "balancer-1")
             await asyncio.sleep(2.5)
@@ -124,11 +124,13 @@
             claim = await client.request("POST", "/claim", body=b"x")
             assert claim.outcome == "done"
 
-    asyncio.run(use())
+    asyncio.run(run())
 
 
-def test_platform_outage_leaves_callers_and_joiners_alone(cluster: Cluster) -> None:
-    async def use() -> None:
+def test_platform_outage_affects_neither_callers_nor_new_nodes(
+    cluster: Cluster,
+) -> None:
+    async def run() -> None:
         cluster.processes["platform"].send(signal.SIGSTOP)
         name = "balancer-2"
         cluster.processes[name].send(signal.SIGKILL)
@@ -141,16 +143,16 @@
         cluster.processes["platform"].send(signal.SIGCONT)
         await asyncio.to_thread(cluster.run_command, "rotate-keys", "--timeout", "30")
 
-    asyncio.run(use())
+    asyncio.run(run())
 
 
-def test_killed_agent_never_runs_a_claim_twice(cluster: Cluster) -> None:
-    async def use() -> None:
+def test_killed_agent_never_runs_a_request_twice(cluster: Cluster) -> None:
+    async def run() -> None:
         front = cluster.fronts[SERVICE]
         async with open_client(front) as client:
             first = await client.request("GET", "/read")
             key = {"idempotency-key": first.ticket}
-            name = name_upstream(first)
+            name = get_upstream_name(first)
             faults = f"{cluster.upstream_urls[name]}/faults"
             await cluster.fetch(faults, body={"slow": 1.0})
             client.open("POST", "/claim", body=b"once", headers=key)
@@ -165,18 +167,18 @@
         entries = await cluster.read_journals(SERVICE)
         assert sum(entry["body"] == "once" for entry in entries) == 1
 
-    asyncio.run(use())
+    asyncio.run(run())
 
 
-def test_planned_stop_of_an_agent_cuts_nothing_and_hands_over(
+def test_planned_stop_of_an_agent_finishes_requests_and_hands_over(
     cluster: Cluster,
 ) -> None:
-    async def use() -> None:
+    async def run() -> None:
         front = cluster.fronts[SERVICE]
         async with open_client(front) as client:
             first = await client.request("GET", "/read")
             key = {"idempotency-key": first.ticket}
-            name = name_upstream(first)
+            name = get_upstream_name(first)
             faults = f"{cluster.upstream_urls[name]}/faults"
             await cluster.fetch(faults, body={"slow": 0.6})
             _stream, running = client.open("POST", "/claim", body=b"once", headers=key)
@@ -191,11 +193,11 @@
         entries = await cluster.read_journals(SERVICE)
         assert sum(entry["body"] == "once" for entry in entries) == 1
 
-    asyncio.run(use())
+    asyncio.run(run())
 
 
-def test_lossy_fabric_neither_loses_nor_doubles_claims(cluster: Cluster) -> None:
-    async def use() -> None:
+def test_lossy_network_neither_loses_nor_repeats_requests(cluster: Cluster) -> None:
+    async def run() -> None:
         faults = {"drop": 0.05, "duplicate": 0.1, "reorder": 0.2}
         await cluster.fetch(f"{cluster.fabric_url}/faults", body=faults)
         async with open_client(cluster.fronts[SERVICE]) as client:
@@ -208,7 +210,7 @@
         bodies = [entry["body"] for entry in entries]
         assert sorted(bodies) == sorted(f"claim-{index}" for index in range(30))
 
-    asyncio.run(use())
+    asyncio.run(run())
 
 
 @pytest.mark.parametrize(
@@ -220,30 +222,30 @@
         ("odd", 200, "done"),
     ],
 )
-def test_bad_answers_are_told_apart(
+def test_faulty_answers_have_distinct_outcomes(
     cluster: Cluster, fault: str, status: int, outcome: str
 ) -> None:
-    async def use() -> None:
+    async def run() -> None:
         for url in cluster.upstream_urls.values():
             await cluster.fetch(f"{url}/faults", body={fault: True})
         async with open_client(cluster.fronts[SERVICE]) as client:
             claim = await client.request("POST", "/claim", body=b"x")
             assert (claim.status, claim.outcome) == (status, outcome)
             assert ("retry-after" in claim.headers) == (outcome == "not-run")
-        ran = await cluster.read_journals(SERVICE)
-        assert len(ran) == (0 if outcome == "not-run" else 1)
+        entries = await cluster.read_journals(SERVICE)
+        assert len(entries) == (0 if outcome == "not-run" else 1)
 
-    asyncio.run(use())
+    asyncio.run(run())
 
 
-def test_stream_that_its_upstream_cuts_is_never_passed_off_as_whole(
+def test_stream_cut_by_its_upstream_is_not_reported_as_complete(
     cluster: Cluster,
 ) -> None:
-    async def use() -> None:
+    async def run() -> None:
         async with open_client(cluster.fronts[SERVICE]) as client:
             (stream,) = open_streams(client, 1)
             await expect_progress([stream])
-            name = name_upstream(stream)
+            name = get_upstream_name(stream)
             cluster.processes[f"upstream-{name}"].send(signal.SIGKILL)
             async with asyncio.timeout(10):
                 while not (stream.cut or stream.whole):
@@ -251,13 +253,13 @@
                     await stream.changed.wait()
             assert (stream.cut, stream.whole) == (True, False)
 
-    asyncio.run(use())
+    asyncio.run(run())
 
 
-def test_callers_prove_their_address_when_handshakes_come_too_fast(
+def test_callers_validate_their_address_above_the_handshake_rate(
     tmp_path,
 ) -> None:
-    async def use(cluster: Cluster) -> None:
+    async def run(cluster: Cluster) -> None:
         for _ in range(6):
             async with open_client(cluster.fronts["intake"]) as client:
                 claim = await client.request("POST", "/claim", body=b"x")
@@ -268,18 +270,18 @@
             session.get(f"http://{address}/metrics") as response,
         ):
             text = await response.text()
-        asked = text.partition('shedsill_events_total{event="206"}')[2].split()[0]
-        assert float(asked) >= 3
+        retries = text.partition('shedsill_events_total{event="206"}')[2].split()[0]
+        assert float(retries) >= 3
 
     layout = make_layout("intake", count=1, slots=3)
     cluster = Cluster((layout,), str(tmp_path))
     cluster.extra["agent"] = ("--handshake-rate", "0.01/2", "--idle-span", "0.3")
     with run_cluster(cluster):
-        asyncio.run(use(cluster))
+        asyncio.run(run(cluster))
 
 
-def test_upstreams_never_work_beyond_their_slots(cluster: Cluster) -> None:
-    async def use() -> None:
+def test_upstreams_never_run_more_requests_than_slots(cluster: Cluster) -> None:
+    async def run() -> None:
         for url in cluster.upstream_urls.values():
             await cluster.fetch(f"{url}/faults", body={"slow": 0.1})
         async with open_client(cluster.fronts[SERVICE]) as client:
@@ -297,10 +299,12 @@
         done = [a for a in answers if a.outcome == "done"]
         assert sum(len(journal["entries"]) for journal in journals) == len(done)
 
-    asyncio.run(use())
+    asyncio.run(run())
 
 
-def test_garbage_is_counted_and_the_processes_go_on(cluster: Cluster) -> None:
+def test_malformed_datagrams_are_counted_and_service_continues(
+    cluster: Cluster,
+) -> None:
     async def read_metrics(name: str, number: int) -> float:
         address = {**cluster.balancers, **cluster.agents}[name]
         async with (
@@ -308,26 +312,26 @@
             session.get(f"http://{address}/metrics") as response,
         ):
             text = await response.text()
-        wanted = f'shedsill_events_total{{event="{number}"}}'
-        return float(text.partition(wanted)[2].split()[0])
+        metric = f'shedsill_events_total{{event="{number}"}}'
+        return float(text.partition(metric)[2].split()[0])
 
-    async def use() -> None:
+    async def run() -> None:
         port = cluster._service_ports[SERVICE]
         sender = socket.socket(type=socket.SOCK_DGRAM)
         balancer = cluster.balancers["balancer-1"]
         agent = cluster.agents["dispatcher-1"]
-        for size in range(GARBAGE_COUNT):
+        for size in range(MALFORMED_DATAGRAMS):
             data = os.urandom(size * 7)
             for target in ((balancer.host, port), balancer.pair, agent.pair):
                 sender.sendto(data, target)
         sender.close()
         await asyncio.sleep(0.5)
         drops = [await read_metrics("balancer-1", n) for n in (300, 301)]
-        assert sum(drops) > GARBAGE_COUNT * 0.9
-        assert await read_metrics("balancer-1", 303) > GARBAGE_COUNT * 0.9
-        assert await read_metrics("dispatcher-1", 303) > GARBAGE_COUNT * 0.9
+        assert sum(drops) > MALFORMED_DATAGRAMS * 0.9
+        assert await read_metrics("balancer-1", 303) > MALFORMED_DATAGRAMS * 0.9
+        assert await read_metrics("dispatcher-1", 303) > MALFORMED_DATAGRAMS * 0.9
         async with open_client(cluster.fronts[SERVICE]) as client:
             claim = await client.request("POST", "/claim", body=b"x")
             assert claim.outcome == "done"
 
-    asyncio.run(use())
+    asyncio.run(run())
--- a/shedsill/tests/test_quic.py
+++ b/shedsill/tests/test_quic.py
@@ -1,4 +1,4 @@
-"""The pinned aioquic version keeps the private members that we replace."""
+"""QUIC connections, and the private members of aioquic that they replace."""
 
 from __future__ import annotations
 
@@ -73,7 +73,7 @@
             client.receive_datagram(data, SERVER, now=0.1)
 
 
-def test_every_id_that_the_server_issues_is_minted() -> None:
+def test_every_issued_connection_id_encodes_the_route() -> None:
     client, server = connect()
     issued = [entry.cid for entry in server._host_cids]
     assert len(issued) > 1
@@ -87,7 +87,7 @@
 def run_connection(
     client: QuicConnection, server: RoutedConnection, start: float
 ) -> int:
-    """Let both sides talk for a while; return the octets that the server got."""
+    """Run both sides for 7.5 seconds; return the bytes that the server received."""
     received = 0
     for step in range(1_500):
         now = start + step * 0.005
@@ -112,8 +112,8 @@
     stream_id = client.get_next_available_stream_id()
     client.send_stream_data(stream_id, bytes(4 * STREAM_WINDOW_BYTES))
     server.unread_bytes[stream_id] = 0
-    held = run_connection(client, server, 0.2)
-    assert STREAM_WINDOW_BYTES // 2 < held <= STREAM_WINDOW_BYTES
+    received = run_connection(client, server, 0.2)
+    assert STREAM_WINDOW_BYTES // 2 < received <= STREAM_WINDOW_BYTES
     server.unread_bytes.clear()
     server.unread_bytes[stream_id] = 0
     server.send_ping(1)
@@ -121,7 +121,7 @@
     assert STREAM_WINDOW_BYTES // 2 < more <= STREAM_WINDOW_BYTES
 
 
-def test_refusal_ends_a_connection_attempt() -> None:
+def test_refusal_packet_ends_the_connection_attempt() -> None:
     client = make_client()
     ((datagram, _address), *_rest) = client.datagrams_to_send(now=0.0)
     packet = read_packet_header(datagram)
@@ -131,7 +131,7 @@
     assert client._close_event is not None
 
 
-def test_stateless_reset_is_short_and_smaller_than_its_cause() -> None:
+def test_stateless_reset_is_smaller_than_the_packet_it_answers() -> None:
     token = bytes(range(16))
     for size in (22, 40, 1200):
         packet = make_stateless_reset(token, size=size, random_bytes=os.urandom)
@@ -142,7 +142,7 @@
     assert make_stateless_reset(token, size=21, random_bytes=os.urandom) is None
 
 
-def test_largest_datagram_is_announced_and_fits_into_a_frame() -> None:
+def test_advertised_datagram_size_fits_into_a_frame() -> None:
     _client, server = connect()
     buffer = Buffer(data=server._serialize_transport_parameters())
     parameters = pull_quic_transport_parameters(buffer)
@@ -157,11 +157,11 @@
     assert len(encode_frame(KEYS, frame)) <= 1500 - 28
 
 
-def test_id_length_is_that_of_one_block_and_one_octet() -> None:
+def test_connection_id_length_is_that_of_the_key_ring() -> None:
     assert make_quic_configuration().connection_id_length == CONNECTION_ID_LENGTH
 
 
-def test_certificate_from_the_platform_is_loaded_again_when_it_changes() -> None:
+def test_changed_platform_certificate_is_reloaded() -> None:
     platform = MemoryPlatform()
     loader = CertificateLoader("platform:service")
 
@@ -172,10 +172,10 @@
         await platform.call(call)
 
     async def load() -> object:
-        _note, loaded = await loader.load(platform)
+        _log, loaded = await loader.load(platform)
         return loaded and loaded.certificate.serial_number
 
-    async def use() -> None:
+    async def run() -> None:
         assert await load() is None
         await store(0)
         first = await load()
@@ -184,4 +184,4 @@
         await store(1)
         assert await load() not in (None, first)
 
-    asyncio.run(use())
+    asyncio.run(run())
