--- a/benchmarks/agents.py
+++ b/benchmarks/agents.py
@@ -96,7 +96,7 @@
                     can_open_connection=True,
                 )
                 with meter.measure():
-                    table.deliver(deliver)
+                    table.deliver_datagram(deliver)
             for _caller, data in outbox:
                 client.receive_datagram(data, ("127.0.0.1", 443), now=loop.time())
             outbox.clear()
--- a/shedsill/http3/_admission.py
+++ b/shedsill/http3/_admission.py
@@ -212,7 +212,7 @@
         return AdmissionResult(decision=AdmissionDecision.START)
     if count_free_slots(admission, now) > 0 and not admission.queue:
         return AdmissionResult(decision=AdmissionDecision.START)
-    if _count_queued(admission, request) >= _get_share(admission, class_count):
+    if _count_queued(admission, request) >= _get_queue_share(admission, class_count):
         return AdmissionResult(
             decision=AdmissionDecision.REFUSE, reason="queue is full"
         )
@@ -226,7 +226,7 @@
     return AdmissionResult(decision=AdmissionDecision.QUEUE)
 
 
-def _get_share(admission: Admission, class_count: int) -> int:
+def _get_queue_share(admission: Admission, class_count: int) -> int:
     return max(admission.queue_limit // max(class_count, 1), 1)
 
 
--- a/shedsill/http3/_agent.py
+++ b/shedsill/http3/_agent.py
@@ -85,7 +85,7 @@
     if node.configuration is state.node.configuration:
         return evolve(state, node=node), effects
     was_known = state.upstream != 0
-    state = _identify(evolve(state, node=node), node.configuration, event.now)
+    state = _update_identity(evolve(state, node=node), node.configuration, event.now)
     if state.upstream and not was_known:
         fields = {"seconds": state.admission.slots_available_at - event.now}
         effects.append(WriteLog(event=LogEvent.SLOTS_HELD, fields=fields))
@@ -93,7 +93,7 @@
     return state, effects + more
 
 
-def _identify(
+def _update_identity(
     state: AgentState, configuration: Configuration, now: float
 ) -> AgentState:
     """Update this agent's numbers and limits from the configuration."""
@@ -109,7 +109,7 @@
     first = state.upstream == 0
     state = evolve(state, upstream=own[0].number, service=own[0].service)
     state = evolve(state, outcomes=add_issuer(state.outcomes, state.issuer))
-    return _set_limits(state, configuration, now, first=first)
+    return _update_limits(state, configuration, now, first=first)
 
 
 def _has_service(configuration: Configuration, number: int, name: str) -> bool:
@@ -117,7 +117,7 @@
     return accepted is not None and accepted.name == name
 
 
-def _set_limits(
+def _update_limits(
     state: AgentState, configuration: Configuration, now: float, *, first: bool
 ) -> AgentState:
     accepted = configuration.find_service(state.service)
--- a/shedsill/http3/_drain.py
+++ b/shedsill/http3/_drain.py
@@ -56,7 +56,7 @@
     if drain is None or drain.drained:
         return state, []
     if not drain.handover_prepared:
-        if not _is_empty(state, now):
+        if not _has_finished_work(state, now):
             return state, []
         state = _prepare_handover(state, now)
         drain = state.drain
@@ -72,7 +72,7 @@
     return _offer_records(state, drain, now)
 
 
-def _is_empty(state: AgentState, now: float) -> bool:
+def _has_finished_work(state: AgentState, now: float) -> bool:
     if state.flow_count == 0 and not state.admission.requests:
         return True
     limit = state.settings.drain_limit
--- a/shedsill/http3/_flows.py
+++ b/shedsill/http3/_flows.py
@@ -61,7 +61,7 @@
         if (route.upstream, route.service) != (state.upstream, state.service):
             continue
         if route.incarnation == state.incarnation:
-            return state, [_deliver(frame, reply_to, can_open_connection=False)]
+            return state, [_build_delivery(frame, reply_to, can_open_connection=False)]
         return state, _reset_flow(packet, frame, reply_to)
     if packet.kind != PacketKind.INITIAL:
         fields = {"octets": len(frame.datagram)}
@@ -69,7 +69,7 @@
     return _handle_new_flow(state, event, frame, packet, reply_to)
 
 
-def _deliver(
+def _build_delivery(
     frame: ToUpstream, reply_to: Address, *, can_open_connection: bool
 ) -> Deliver:
     return Deliver(
@@ -128,7 +128,7 @@
 ) -> Step:
     """Repeat an earlier decision, or keep the flow if forwarding it has failed."""
     if decision.upstream == state.upstream:
-        return state, [_deliver(frame, reply_to, can_open_connection=True)]
+        return state, [_build_delivery(frame, reply_to, can_open_connection=True)]
     if frame.passed:
         # Never forward twice, or two agents could forward to each other forever.
         return _place_flow(state, event, frame, packet, reply_to)
@@ -222,7 +222,7 @@
     state = _record_decision(state, packet, state.upstream, event.now)
     fields = {"caller": str(frame.caller), "flows": state.flow_count}
     log = WriteLog(event=LogEvent.FLOW_KEPT, fields=fields)
-    return state, [log, _deliver(frame, reply_to, can_open_connection=True)]
+    return state, [log, _build_delivery(frame, reply_to, can_open_connection=True)]
 
 
 def _find_other_candidate(
--- a/shedsill/http3/_requests.py
+++ b/shedsill/http3/_requests.py
@@ -88,7 +88,7 @@
     """Start, queue, forward or refuse a new request, or answer a repeated one."""
     state, request = _make_request(state, event)
     if not event.key:
-        return _admit(state, request, event.now, event.seed)
+        return _admit_request(state, request, event.now, event.seed)
     ticket = state.keys.decrypt_ticket(event.key)
     if ticket is None:
         reason = "Idempotency-Key is not a ticket that this service issued"
@@ -105,8 +105,8 @@
     request_class = match_class(
         _get_classes(state), method=event.method, path=event.path
     )
-    stream = request_class.kind == RequestKind.STREAM
-    issued = Ticket(
+    is_stream = request_class.kind == RequestKind.STREAM
+    ticket = Ticket(
         state.upstream,
         state.incarnation,
         state.next_ticket,
@@ -119,8 +119,8 @@
         request_class=request_class,
         fingerprint=event.fingerprint,
         body_complete=event.body_complete,
-        expires_at=math.inf if stream else event.now + request_class.deadline,
-        ticket=state.keys.encrypt_ticket(issued),
+        expires_at=math.inf if is_stream else event.now + request_class.deadline,
+        ticket=state.keys.encrypt_ticket(ticket),
         idempotency_key=event.key,
     )
     return evolve(state, next_ticket=state.next_ticket + 1), request
@@ -151,21 +151,21 @@
     state: AgentState, request: Request, ticket: Ticket, event: RequestArrived
 ) -> Step:
     assert request.issuer is not None
-    expires = get_local_expiry(state.outcomes, request.issuer, ticket.expires_at)
-    if expires <= event.now:
+    expires_at = get_local_expiry(state.outcomes, request.issuer, ticket.expires_at)
+    if expires_at <= event.now:
         return state, [
             build_unknown_answer(request, STATUS_CONFLICT, "the ticket has expired")
         ]
     if is_full(state.outcomes):
-        refused = Refused(fingerprint=request.fingerprint, expires_at=expires)
+        refused = Refused(fingerprint=request.fingerprint, expires_at=expires_at)
         state = put_request_record(state, request, refused)
         reason = "the record of outcomes is full"
         return state, [build_refusal(state, request, STATUS_UNAVAILABLE, reason, event)]
     running = Running(
-        fingerprint=request.fingerprint, expires_at=expires, request=request.number
+        fingerprint=request.fingerprint, expires_at=expires_at, request=request.number
     )
     state = put_request_record(state, request, running)
-    return _admit(state, request, event.now, event.seed)
+    return _admit_request(state, request, event.now, event.seed)
 
 
 def _handle_repeat(
@@ -208,11 +208,11 @@
     target = state.record_successors.get(issuer, issuer.upstream)
     request = evolve(request, issuer=issuer)
     if issuing_upstream is None and target == issuer.upstream:
-        return _try_successor(state, request, target)
-    return _send_to_peer(state, request, target)
+        return _forward_to_successor(state, request, target)
+    return _forward_to_upstream(state, request, target)
 
 
-def _send_to_peer(state: AgentState, request: Request, target: int) -> Step:
+def _forward_to_upstream(state: AgentState, request: Request, target: int) -> Step:
     """Forward a request, but neither to this agent nor to another service."""
     upstream = state.node.configuration.find_upstream(target)
     unusable = upstream is None or upstream.service != state.service
@@ -230,10 +230,10 @@
     return state, [WriteLog(event=LogEvent.REQUEST_PASSED, fields=fields), effect]
 
 
-def _try_successor(state: AgentState, request: Request, departed: int) -> Step:
+def _forward_to_successor(state: AgentState, request: Request, departed: int) -> Step:
     """Forward a request to the successor of an upstream that has left."""
     successor = state.node.configuration.find_successor(departed)
-    return _send_to_peer(state, request, successor)
+    return _forward_to_upstream(state, request, successor)
 
 
 def handle_peer_answer(state: AgentState, event: PeerAnswered) -> Step:
@@ -257,28 +257,28 @@
     if request is None:
         return state, []
     if event.not_accepted and request.issuer is not None:
-        return _try_successor(state, request, request.issuer.upstream)
+        return _forward_to_successor(state, request, request.issuer.upstream)
     state = set_admission(state, drop_request(state.admission, request, event.now))
     reason = "the ticket's issuer did not answer"
     return state, [build_unknown_answer(request, STATUS_TIMEOUT, reason)]
 
 
-def _admit(state: AgentState, request: Request, now: float, seed: int) -> Step:
+def _admit_request(state: AgentState, request: Request, now: float, seed: int) -> Step:
     if state.drain is not None:
         return complete_without_answer(state, request, "upstream is leaving", now, seed)
     count = len(_get_classes(state)) + 1
-    admittance = decide_admission(state.admission, request, count, now)
-    match admittance.decision:
+    result = decide_admission(state.admission, request, count, now)
+    match result.decision:
         case AdmissionDecision.START:
-            return _start(state, request, now)
+            return _start_request(state, request, now)
         case AdmissionDecision.QUEUE:
             state = set_admission(state, queue_request(state.admission, request))
             return state, [log_request(LogEvent.REQUEST_QUEUED, request)]
         case AdmissionDecision.REFUSE:
-            return complete_without_answer(state, request, admittance.reason, now, seed)
+            return complete_without_answer(state, request, result.reason, now, seed)
 
 
-def _start(state: AgentState, request: Request, now: float) -> Step:
+def _start_request(state: AgentState, request: Request, now: float) -> Step:
     state = set_admission(state, start_request(state.admission, request, now))
     buffered = request.needs_slot
     effect = SendUpstreamRequest(
@@ -297,7 +297,7 @@
                 state, request, "no time left", now, seed
             )
         else:
-            state, more = _start(state, request, now)
+            state, more = _start_request(state, request, now)
         effects += more
     return state, effects
 
@@ -314,18 +314,18 @@
                     state, request, "no time left", now, seed
                 )
         elif request.expires_at <= now:
-            state, more = _expire(state, request, now)
+            state, more = _expire_request(state, request, now)
         effects += more
     return state, effects
 
 
-def _expire(state: AgentState, request: Request, now: float) -> Step:
+def _expire_request(state: AgentState, request: Request, now: float) -> Step:
     effects: list[Effect] = [log_request(LogEvent.REQUEST_EXPIRED, request)]
     was_running = request.phase == RequestPhase.RUNNING
     if was_running:
         effects.append(AbortUpstreamRequest(request=request.number))
     if request.phase == RequestPhase.JOINED:
-        state = _leave_waiters(state, request)
+        state = _remove_waiter(state, request)
     admission = drop_request(state.admission, request, now, aborted=was_running)
     state = set_admission(state, admission)
     if not was_running:
@@ -346,7 +346,7 @@
         return state, []
     log = log_request(LogEvent.REQUEST_CANCELLED, request)
     if request.phase == RequestPhase.JOINED:
-        state = _leave_waiters(state, request)
+        state = _remove_waiter(state, request)
         return set_admission(
             state, drop_request(state.admission, request, event.now)
         ), [log]
@@ -364,7 +364,7 @@
     return state, [log, AbortUpstreamRequest(request=request.number)]
 
 
-def _leave_waiters(state: AgentState, request: Request) -> AgentState:
+def _remove_waiter(state: AgentState, request: Request) -> AgentState:
     record = find_request_record(state, request)
     if not isinstance(record, Running):
         return state
--- a/shedsill/http3/_runtime/agent.py
+++ b/shedsill/http3/_runtime/agent.py
@@ -262,7 +262,7 @@
             on_opened=lambda flow: self.dispatch(FlowOpened(flow=flow, now=self.now)),
             on_closed=lambda flow: self.dispatch(FlowClosed(flow=flow, now=self.now)),
             on_request=self._dispatch_request,
-            on_cancelled=self._cancel,
+            on_cancelled=self._cancel_request,
             on_unknown_flow=self._reset_unknown_flow,
             on_failed=self._log_flow_failure,
         )
@@ -295,10 +295,10 @@
             await self._load_certificate()
 
     @mode.Service.task
-    async def _read_upstream_load(self) -> None:
+    async def _poll_upstream_load(self) -> None:
         while not self.should_stop:
             if self.now < self.node_state.admission.slots_available_at:
-                busy = await self._upstream.read_load()
+                busy = await self._upstream.fetch_load()
                 if busy is not None:
                     self.dispatch(UpstreamLoadRead(busy=busy, now=self.now))
             await asyncio.sleep(LOAD_POLL_SECONDS)
@@ -348,7 +348,7 @@
         """Execute an effect."""
         match effect:
             case Deliver():
-                self.flow_table.deliver(effect)
+                self.flow_table.deliver_datagram(effect)
             case RefuseFlow(caller=caller, datagram=datagram, reply_to=reply_to):
                 self.flow_table.refuse_flow(caller, datagram, reply_to)
             case RequireRetry():
@@ -360,7 +360,7 @@
             case AnnounceDrain():
                 self.flow_table.announce_drain()
             case SendHandover():
-                self.start_task(self._hand_over(effect))
+                self.start_task(self._send_handover(effect))
             case ApplyConfiguration():
                 pass
             case _:
@@ -376,18 +376,20 @@
             return
         match effect:
             case SendUpstreamRequest():
-                exchange.task = self.start_task(self._send_upstream(exchange, effect))
+                exchange.task = self.start_task(
+                    self._send_upstream_request(exchange, effect)
+                )
             case AbortUpstreamRequest():
                 if exchange.task is not None:
                     exchange.task.cancel()
             case SendAnswer(answer=answer, ticket=ticket, outcome=outcome):
                 headers = make_outcome_headers(outcome, ticket)
-                self._finish(exchange, answer, headers)
+                self._send_answer(exchange, answer, headers)
             case RefuseRequest():
-                self._refuse(exchange, effect)
+                self._refuse_request(exchange, effect)
             case ResetAnswerStream():
                 self.flow_table.reset_stream(exchange)
-                self._drop(exchange)
+                self._drop_exchange(exchange)
             case ForwardRequest():
                 exchange.task = self.start_task(self._forward_request(exchange, effect))
             case DeclineForwardedRequest():
@@ -396,9 +398,9 @@
                     and not exchange.reply_future.done()
                 ):
                     exchange.reply_future.set_result(None)
-                self._drop(exchange)
+                self._drop_exchange(exchange)
 
-    def _refuse(self, exchange: Exchange, effect: RefuseRequest) -> None:
+    def _refuse_request(self, exchange: Exchange, effect: RefuseRequest) -> None:
         answer = RecordedAnswer(
             status=effect.status,
             headers=(Header(name="content-type", value="text/plain"),),
@@ -410,9 +412,9 @@
             reason=effect.reason,
             retry_after=effect.retry_after,
         )
-        self._finish(exchange, answer, headers)
+        self._send_answer(exchange, answer, headers)
 
-    def _finish(
+    def _send_answer(
         self, exchange: Exchange, answer: RecordedAnswer, extra: tuple[Header, ...]
     ) -> None:
         """Send a complete answer; the extra fields replace those of the same name."""
@@ -433,9 +435,9 @@
             if not empty:
                 self.flow_table.send_body(exchange, answer.body, ended=True)
             self.flow_table.drop_exchange(exchange)
-        self._drop(exchange)
+        self._drop_exchange(exchange)
 
-    def _drop(self, exchange: Exchange) -> None:
+    def _drop_exchange(self, exchange: Exchange) -> None:
         self._exchanges.pop(exchange.number, None)
 
     def _dispatch_request(self, exchange: Exchange) -> None:
@@ -455,7 +457,7 @@
             )
         )
 
-    def _cancel(self, exchange: Exchange, deliberate: bool) -> None:
+    def _cancel_request(self, exchange: Exchange, deliberate: bool) -> None:
         if exchange.number not in self._exchanges:
             return
         self.dispatch(
@@ -464,7 +466,7 @@
             )
         )
 
-    async def _send_upstream(
+    async def _send_upstream_request(
         self, exchange: Exchange, effect: SendUpstreamRequest
     ) -> None:
         result = await self._upstream.send(
@@ -486,7 +488,7 @@
                 )
             case RelayedAnswer():
                 self.flow_table.drop_exchange(exchange)
-                self._drop(exchange)
+                self._drop_exchange(exchange)
                 self.dispatch(
                     UpstreamAnswered(
                         request=exchange.number,
@@ -519,7 +521,7 @@
             effect.peer, request
         )
         if answer is not None:
-            self._finish_forwarded(exchange, answer)
+            self._complete_forwarded(exchange, answer)
             return
         self.dispatch(
             PeerFailed(
@@ -530,7 +532,7 @@
             )
         )
 
-    def _finish_forwarded(self, exchange: Exchange, answer: RecordedAnswer) -> None:
+    def _complete_forwarded(self, exchange: Exchange, answer: RecordedAnswer) -> None:
         """Complete a forwarded request with the other agent's answer and outcome."""
         outcomes = [h.value for h in answer.headers if h.name == OUTCOME_HEADER]
         outcome = RequestOutcome(outcomes[0]) if outcomes else RequestOutcome.UNKNOWN
@@ -568,9 +570,9 @@
             return web.Response(status=HTTP_GONE)
         return web.Response(body=encode_peer_answer(self.keys, answer))
 
-    async def _hand_over(self, effect: SendHandover) -> None:
+    async def _send_handover(self, effect: SendHandover) -> None:
         handover = Handover(upstream=effect.upstream, transfers=effect.transfers)
-        accepted = await self._get_peers().hand_over(effect.peer, handover)
+        accepted = await self._get_peers().send_handover(effect.peer, handover)
         self.dispatch(HandoverDone(accepted=accepted, now=self.now))
 
     def _get_peers(self) -> PeerClient:
--- a/shedsill/http3/_runtime/driver.py
+++ b/shedsill/http3/_runtime/driver.py
@@ -150,12 +150,12 @@
                 for effect in effects:
                     self.execute(effect)
         except Exception as error:
-            self._fail(error)
+            self._stop_on_error(error)
             raise
         finally:
             self._dispatching = False
 
-    def _fail(self, error: Exception) -> None:
+    def _stop_on_error(self, error: Exception) -> None:
         """Stop the process after an unexpected exception."""
         self.failure = error
         fields = {"error": f"{type(error).__name__}: {error}"}
--- a/shedsill/http3/_runtime/flows.py
+++ b/shedsill/http3/_runtime/flows.py
@@ -120,14 +120,14 @@
         self._retry = QuicRetryTokenHandler()
         self.configuration: QuicConfiguration | None = None
 
-    def deliver(self, effect: Deliver) -> None:
+    def deliver_datagram(self, effect: Deliver) -> None:
         """Pass a datagram to its connection, which is opened if necessary."""
         header = pull_quic_header(
             Buffer(data=effect.datagram), host_cid_length=CONNECTION_ID_LENGTH
         )
         flow = self._by_cid.get(header.destination_cid)
         if flow is None:
-            flow = self._open(effect, header)
+            flow = self._open_flow(effect, header)
         if flow is None:
             return
         flow.reply_to = effect.reply_to
@@ -135,7 +135,7 @@
             flow.quic.receive_datagram(
                 effect.datagram, effect.caller.pair, now=self._loop.time()
             )
-            self._process(flow)
+            self._process_flow(flow)
 
     @contextlib.contextmanager
     def _close_on_error(self, flow: Flow) -> Iterator[None]:
@@ -144,9 +144,9 @@
             yield
         except Exception as error:
             self._callbacks.on_failed(flow.number, error)
-            self._close(flow)
+            self._close_flow(flow)
 
-    def _open(self, effect: Deliver, header) -> Flow | None:
+    def _open_flow(self, effect: Deliver, header) -> Flow | None:
         configuration = self.configuration
         if configuration is None:
             return None
@@ -163,40 +163,40 @@
             return None
         if len(effect.datagram) < MIN_INITIAL_BYTES:
             return None
-        original, retried = header.destination_cid, None
+        original_cid, retry_cid = header.destination_cid, None
         if header.token:
             try:
-                original = self._retry.validate_token(
+                original_cid = self._retry.validate_token(
                     address=effect.caller.pair,
                     destination_cid=header.destination_cid,
                     token=header.token,
                     now=self._loop.time(),
                 )
-                retried = header.destination_cid
+                retry_cid = header.destination_cid
             except ValueError:
                 if not effect.can_open_connection:
                     return None
         elif not effect.can_open_connection:
             return None
-        return self._add_flow(effect, configuration, original, retried)
+        return self._add_flow(effect, configuration, original_cid, retry_cid)
 
     def _add_flow(
         self,
         effect: Deliver,
         configuration: QuicConfiguration,
-        original: bytes,
-        retried: bytes | None,
+        original_cid: bytes,
+        retry_cid: bytes | None,
     ) -> Flow:
         quic = RoutedConnection(
             id_generator=self._id_generator,
             configuration=configuration,
-            original_destination_connection_id=original,
-            retry_source_connection_id=retried,
+            original_destination_connection_id=original_cid,
+            retry_source_connection_id=retry_cid,
         )
         flow = Flow(
             number=next(self._flow_numbers), quic=quic, reply_to=effect.reply_to
         )
-        for cid in (retried or original, quic.host_cid):
+        for cid in (retry_cid or original_cid, quic.host_cid):
             flow.cids.add(cid)
             self._by_cid[cid] = flow
         self.flows[flow.number] = flow
@@ -254,26 +254,26 @@
             if flow.reply_to == old:
                 flow.reply_to = new
                 flow.quic.send_ping(0)
-                self.transmit(flow)
+                self.transmit_flow(flow)
 
     def announce_drain(self) -> None:
         """Send GOAWAY on every connection."""
         for flow in list(self.flows.values()):
             if flow.http is not None and not flow.quic.is_ended():
                 send_goaway(flow.http, flow.quic)
-                self.transmit(flow)
+                self.transmit_flow(flow)
 
     def send_keepalives(self) -> None:
         """Ping callers with open requests, so that idle streams are not timed out."""
         for flow in list(self.flows.values()):
             if flow.exchanges and not flow.quic.is_ended():
                 flow.quic.send_ping(0)
-                self.transmit(flow)
+                self.transmit_flow(flow)
 
-    def _process(self, flow: Flow) -> None:
+    def _process_flow(self, flow: Flow) -> None:
         while (event := flow.quic.next_event()) is not None:
             self._handle_quic_event(flow, event)
-        self.transmit(flow)
+        self.transmit_flow(flow)
 
     def _handle_quic_event(self, flow: Flow, event: quic_events.QuicEvent) -> None:
         match event:
@@ -286,12 +286,12 @@
                 flow.cids.discard(cid)
                 self._by_cid.pop(cid, None)
             case quic_events.ConnectionTerminated():
-                self._close(flow)
+                self._close_flow(flow)
                 return
             case quic_events.StreamReset(stream_id=stream_id):
-                self._cancel(flow, stream_id)
+                self._cancel_exchange(flow, stream_id)
             case quic_events.StopSendingReceived(stream_id=stream_id):
-                self._cancel(flow, stream_id)
+                self._cancel_exchange(flow, stream_id)
         if flow.http is not None:
             for http_event in flow.http.handle_event(event):
                 self._handle_http_event(flow, http_event)
@@ -340,9 +340,9 @@
     def _extend_window(self, flow: Flow, exchange: Exchange) -> None:
         if exchange.stream in flow.quic.unread_bytes:
             flow.quic.unread_bytes[exchange.stream] = exchange.body.buffered_bytes
-            self.transmit(flow)
+            self.transmit_flow(flow)
 
-    def _cancel(self, flow: Flow, stream_id: int) -> None:
+    def _cancel_exchange(self, flow: Flow, stream_id: int) -> None:
         exchange = flow.exchanges.get(stream_id)
         if exchange is None:
             return
@@ -350,7 +350,7 @@
         self._callbacks.on_cancelled(exchange, True)
         self.drop_exchange(exchange)
 
-    def _close(self, flow: Flow) -> None:
+    def _close_flow(self, flow: Flow) -> None:
         if self.flows.pop(flow.number, None) is None:
             return
         for cid in flow.cids:
@@ -363,7 +363,7 @@
         flow.exchanges.clear()
         self._callbacks.on_closed(flow.number)
 
-    def transmit(self, flow: Flow) -> None:
+    def transmit_flow(self, flow: Flow) -> None:
         """Send a connection's pending datagrams and set its timer."""
         now = self._loop.time()
         for data, address in flow.quic.datagrams_to_send(now=now):
@@ -386,7 +386,7 @@
         flow.timer_at = None
         with self._close_on_error(flow):
             flow.quic.handle_timer(now=self._loop.time())
-            self._process(flow)
+            self._process_flow(flow)
 
     def send_head(
         self,
@@ -407,7 +407,7 @@
         ]
         with self._close_on_error(flow):
             flow.http.send_headers(exchange.stream, pairs, end_stream=ended)
-            self.transmit(flow)
+            self.transmit_flow(flow)
 
     def send_body(self, exchange: Exchange, data: bytes, *, ended: bool) -> None:
         """Send a part of an answer's body."""
@@ -416,7 +416,7 @@
             return
         with self._close_on_error(flow):
             flow.http.send_data(exchange.stream, data, end_stream=ended)
-            self.transmit(flow)
+            self.transmit_flow(flow)
 
     async def wait_for_send_buffer(self, exchange: Exchange) -> None:
         """Wait until a stream's send buffer is below its limit."""
@@ -433,7 +433,7 @@
             return
         with self._close_on_error(flow):
             flow.quic.reset_stream(exchange.stream, ErrorCode.H3_INTERNAL_ERROR)
-            self.transmit(flow)
+            self.transmit_flow(flow)
         self.drop_exchange(exchange)
 
     def drop_exchange(self, exchange: Exchange) -> None:
@@ -453,4 +453,4 @@
         """Close every connection."""
         for flow in list(self.flows.values()):
             flow.quic.close()
-            self.transmit(flow)
+            self.transmit_flow(flow)
--- a/shedsill/http3/_runtime/peers.py
+++ b/shedsill/http3/_runtime/peers.py
@@ -51,7 +51,7 @@
         except (TimeoutError, aiohttp.ClientError, OSError, DecodeError):
             return None, False
 
-    async def hand_over(self, peer: Address, handover: Handover) -> bool:
+    async def send_handover(self, peer: Address, handover: Handover) -> bool:
         """Send outcome records; return whether the successor confirmed them."""
         url = f"http://{peer}{PEER_HANDOVER_PATH}"
         data = encode_handover(self.keys, handover)
--- a/shedsill/http3/_runtime/upstream.py
+++ b/shedsill/http3/_runtime/upstream.py
@@ -107,7 +107,7 @@
         if self._session is not None:
             await self._session.close()
 
-    async def read_load(self) -> int | None:
+    async def fetch_load(self) -> int | None:
         """Return the number of running requests that the upstream reports, if any."""
         assert self._session is not None
         limit = aiohttp.ClientTimeout(total=LOAD_TIMEOUT_SECONDS)
@@ -143,7 +143,7 @@
                 data=data or None,
                 allow_redirects=False,
             ) as response:
-                return await self._read(
+                return await self._read_response(
                     response, buffered=buffered, make_relay=make_relay
                 )
         except aiohttp.ClientConnectorError as error:
@@ -151,7 +151,7 @@
         except (TimeoutError, aiohttp.ClientError, OSError) as error:
             return FailedCall(sent=True, reason=f"{type(error).__name__} {error}")
 
-    async def _read(
+    async def _read_response(
         self,
         response: aiohttp.ClientResponse,
         *,
--- a/shedsill/tests/test_guards.py
+++ b/shedsill/tests/test_guards.py
@@ -324,7 +324,7 @@
             _flows,
             "_reset_flow",
             lambda _packet, frame, reply_to: [
-                _flows._deliver(frame, reply_to, can_open_connection=True)
+                _flows._build_delivery(frame, reply_to, can_open_connection=True)
             ],
         ),
         new_incarnation_refuses_old_ids,
