--- a/shedsill/http3/_admission.py
+++ b/shedsill/http3/_admission.py
@@ -91,8 +91,8 @@
     cancel_grace : float
         Seconds for which a slot stays occupied after its request was aborted.
     idle_span : float
-        Seconds for which the upstream must report no load after a start before
-        its slots are used; at most the longest deadline.
+        Seconds for which the upstream must report no load after a start before its
+        slots are used.  They are used in any case after the longest deadline.
     breaker_failures : int
         Consecutive failures after which the circuit breaker opens.
     breaker_pause : float
--- a/shedsill/http3/_agent_state.py
+++ b/shedsill/http3/_agent_state.py
@@ -88,7 +88,8 @@
     pending_transfers : tuple of Transfer
         Records that the successor has not confirmed yet.
     handover_prepared : bool
-        Whether all flows have ended and the records are ready for the handover.
+        Whether the records are ready for the handover, as all flows have ended or
+        `drain_limit` has passed.
     last_offer_at, offers_made : float, int
         When the records were last offered, and how often.
     drained : bool
--- a/shedsill/http3/_request_completion.py
+++ b/shedsill/http3/_request_completion.py
@@ -125,7 +125,7 @@
 def complete_unknown(
     state: AgentState, request: Request, status: int, reason: str
 ) -> Step:
-    """Answer a request and its repeats that the request may have run."""
+    """Report an unknown outcome to the callers of a request and of its repeats."""
     waiters = get_waiters(state, request)
     state = record_unknown(state, request)
     if request.answer_started:
--- a/shedsill/http3/_runtime/log.py
+++ b/shedsill/http3/_runtime/log.py
@@ -2,7 +2,7 @@
 
 Every event is counted.  Lines below the configured level are not written, and one in
 `sample` of the TRACE and DEBUG lines is.  Each event writes at most
-`MAX_LINES_PER_SECOND`, so that a flood of bad packets cannot flood the log.
+`MAX_LINES_PER_SECOND` lines, so that invalid packets cannot flood the log.
 """
 
 from __future__ import annotations
