--- a/benchmarks/agents.py
+++ b/benchmarks/agents.py
@@ -27,25 +27,25 @@
 from shedsill.testing.documents import make_layout
 from shedsill.testing.processes import SECRET, Cluster, run_cluster
 
-HANDSHAKES = 300
-REQUESTS = 300
+HANDSHAKE_COUNT = 300
+REQUEST_COUNT = 300
 BALANCER = Address("127.0.0.1", 1)
 KEYS = KeyRing((bytes.fromhex(SECRET),))
 
 
-class _Meter:
+class _ResourceMeter:
     """Adds up processor time and memory of the agent's side alone."""
 
     def __init__(self) -> None:
         self.seconds = 0.0
-        self.octets = 0
+        self.allocated_bytes = 0
 
     @contextlib.contextmanager
     def measure(self):
         start, before = time.process_time(), tracemalloc.get_traced_memory()[0]
         yield
         self.seconds += time.process_time() - start
-        self.octets += tracemalloc.get_traced_memory()[0] - before
+        self.allocated_bytes += tracemalloc.get_traced_memory()[0] - before
 
 
 def _make_table(outbox: list[tuple[Address, bytes]]) -> FlowTable:
@@ -73,10 +73,10 @@
     return table
 
 
-async def _shake_hands(count: int) -> _Meter:
+async def _complete_handshakes(count: int) -> _ResourceMeter:
     outbox: list[tuple[Address, bytes]] = []
     table = _make_table(outbox)
-    meter = _Meter()
+    meter = _ResourceMeter()
     loop = asyncio.get_running_loop()
     clients = []
     for index in range(count):
@@ -107,19 +107,19 @@
 
 async def measure_connections() -> list[Result]:
     """Time handshakes, and weigh open connections, at the agent."""
-    timed = await _shake_hands(HANDSHAKES)
+    timed = await _complete_handshakes(HANDSHAKE_COUNT)
     tracemalloc.start()
-    weighed = await _shake_hands(HANDSHAKES)
+    weighed = await _complete_handshakes(HANDSHAKE_COUNT)
     tracemalloc.stop()
-    cost = timed.seconds / HANDSHAKES
+    cost = timed.seconds / HANDSHAKE_COUNT
     return [
         Result("agent, handshake", cost * 1e3, "ms"),
         Result("agent, handshakes/s", 1 / cost, "1/s"),
-        Result("agent, memory per connection", weighed.octets / HANDSHAKES / 1e3, "kB"),
+        Result("agent, memory per connection", weighed.allocated_bytes / HANDSHAKE_COUNT / 1e3, "kB"),
     ]
 
 
-class _Direct(asyncio.DatagramProtocol):
+class _DirectRelay(asyncio.DatagramProtocol):
     """Stands where fabric and balancer stand, for one caller."""
 
     def __init__(self, agent: Address, upstream: int, service: int) -> None:
@@ -151,7 +151,7 @@
 async def _time_requests(address: Address) -> HdrHistogram:
     histogram = HdrHistogram(1, 60_000_000, 3)
     async with open_client(address) as client:
-        for _ in range(REQUESTS):
+        for _ in range(REQUEST_COUNT):
             start = time.perf_counter()
             response = await client.request("GET", "/read")
             assert response.status == 200, response
@@ -159,12 +159,12 @@
     return histogram
 
 
-async def _compare_paths(cluster: Cluster) -> list[Result]:
+async def _time_paths(cluster: Cluster) -> list[Result]:
     whole = await _time_requests(cluster.fronts["intake"])
     loop = asyncio.get_running_loop()
     agent = cluster.agents["intake-1"]
     transport, _direct = await loop.create_datagram_endpoint(
-        lambda: _Direct(agent, 1, 1), local_addr=("127.0.0.1", 0)
+        lambda: _DirectRelay(agent, 1, 1), local_addr=("127.0.0.1", 0)
     )
     address = Address(*transport.get_extra_info("sockname"))
     direct = await _time_requests(address)
@@ -184,4 +184,4 @@
         cluster = Cluster((layout,), directory)
         cluster.extra["upstream"] = ("--work", "0.001")
         with run_cluster(cluster):
-            return asyncio.run(_compare_paths(cluster))
+            return asyncio.run(_time_paths(cluster))
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -31,9 +31,9 @@
 from shedsill.http3._reducer import reduce
 from shedsill.http3._resources import Service, Upstream, UpstreamSet
 
-SIZES = (50, 100, 200, 400, 800)
-PER_SERVICE = 4
-GOSSIP_SIZES = (30, 300, 3_000, 21_900)
+UPSTREAM_COUNTS = (50, 100, 200, 400, 800)
+UPSTREAMS_PER_SERVICE = 4
+NODE_COUNTS = (30, 300, 3_000, 21_900)
 REPEATS = 5
 
 
@@ -41,7 +41,7 @@
     """Return services of four upstreams each."""
     services = []
     sets = []
-    for index in range(upstreams // PER_SERVICE):
+    for index in range(upstreams // UPSTREAMS_PER_SERVICE):
         name = f"service-{index}"
         services.append(Service(name=name, address=f"10.0.0.1:{index + 1}"))
         members = tuple(
@@ -50,7 +50,7 @@
                 address=f"10.1.{index // 250}.{index % 250}:{member + 1}",
                 zone="zone-1",
             )
-            for member in range(PER_SERVICE)
+            for member in range(UPSTREAMS_PER_SERVICE)
         )
         sets.append(UpstreamSet(name=name, service=name, upstreams=members))
     return AcceptanceInputs(services=tuple(services), upstream_sets=tuple(sets))
@@ -68,7 +68,7 @@
     )
 
 
-def _time(function: Callable[[], object]) -> float:
+def _time_call(function: Callable[[], object]) -> float:
     """Return the least processor time of some repeats, in seconds."""
     best = float("inf")
     for _ in range(REPEATS):
@@ -78,7 +78,7 @@
     return best
 
 
-def _fit(name: str, sizes, values, unit: str) -> list[Result]:
+def _fit_line(name: str, sizes, values, unit: str) -> list[Result]:
     """Fit a line; the residual is the largest miss as a share of the value."""
     slope, offset = np.polyfit(sizes, values, 1)
     fitted = slope * np.asarray(sizes) + offset
@@ -93,66 +93,66 @@
 def measure_capacity() -> list[Result]:
     """Measure every slope."""
     results = _measure_configuration()
-    results += _measure_beat()
+    results += _measure_tick()
     results += _measure_heartbeat()
-    return results + [_spread(size) for size in GOSSIP_SIZES]
+    return results + [_count_gossip_rounds(size) for size in NODE_COUNTS]
 
 
 def _measure_configuration() -> list[Result]:
     octets, accepting, decoding, memory = [], [], [], []
-    for size in SIZES:
+    for size in UPSTREAM_COUNTS:
         inputs = make_inputs(size)
         configuration = accept_resources(Configuration(), inputs).configuration
         value = encode_configuration(configuration)
         octets.append(len(json.dumps(value)))
         accepting.append(
-            _time(lambda i=inputs, c=configuration: accept_resources(c, i)) * 1e6
+            _time_call(lambda i=inputs, c=configuration: accept_resources(c, i)) * 1e6
         )
-        decoding.append(_time(lambda v=value: decode_configuration(v)) * 1e6)
+        decoding.append(_time_call(lambda v=value: decode_configuration(v)) * 1e6)
         tracemalloc.start()
         kept = decode_configuration(value)
         memory.append(tracemalloc.get_traced_memory()[0])
         tracemalloc.stop()
         del kept
     return [
-        *_fit("configuration, octets per upstream", SIZES, octets, "B"),
-        *_fit("accepting, per upstream", SIZES, accepting, "us"),
-        *_fit("decoding, per upstream", SIZES, decoding, "us"),
-        *_fit("memory of a configuration, per upstream", SIZES, memory, "B"),
+        *_fit_line("configuration, octets per upstream", UPSTREAM_COUNTS, octets, "B"),
+        *_fit_line("accepting, per upstream", UPSTREAM_COUNTS, accepting, "us"),
+        *_fit_line("decoding, per upstream", UPSTREAM_COUNTS, decoding, "us"),
+        *_fit_line("memory of a configuration, per upstream", UPSTREAM_COUNTS, memory, "B"),
     ]
 
 
-def _measure_beat() -> list[Result]:
+def _measure_tick() -> list[Result]:
     """Time one beat of a balancer against upstreams, then against members."""
     by_upstream = []
-    for size in SIZES:
+    for size in UPSTREAM_COUNTS:
         configuration = accept_resources(
             Configuration(), make_inputs(size)
         ).configuration
-        by_upstream.append(_time_beat(make_state(configuration)) * 1e6)
+        by_upstream.append(_time_tick(make_state(configuration)) * 1e6)
     configuration = accept_resources(
-        Configuration(), make_inputs(PER_SERVICE)
+        Configuration(), make_inputs(UPSTREAMS_PER_SERVICE)
     ).configuration
     by_member = []
-    for size in SIZES:
+    for size in UPSTREAM_COUNTS:
         state = make_state(configuration)
         reports = [make_report(index) for index in range(size)]
         membership = merge_reports(state.node.membership, reports, 1.0)
         state = evolve(state, node=evolve(state.node, membership=membership))
-        by_member.append(_time_beat(state) * 1e6)
+        by_member.append(_time_tick(state) * 1e6)
     return [
-        *_fit("beat of a balancer, per upstream", SIZES, by_upstream, "us"),
-        *_fit("beat of a balancer, per member", SIZES, by_member, "us"),
+        *_fit_line("beat of a balancer, per upstream", UPSTREAM_COUNTS, by_upstream, "us"),
+        *_fit_line("beat of a balancer, per member", UPSTREAM_COUNTS, by_member, "us"),
     ]
 
 
-def _time_beat(state) -> float:
-    return _time(lambda: reduce(state, Tick(now=2.0, seed=1)))
+def _time_tick(state) -> float:
+    return _time_call(lambda: reduce(state, Tick(now=2.0, seed=1)))
 
 
 def _measure_heartbeat() -> list[Result]:
     configuration = accept_resources(
-        Configuration(), make_inputs(PER_SERVICE)
+        Configuration(), make_inputs(UPSTREAMS_PER_SERVICE)
     ).configuration
     state = make_state(configuration)
     reports = [make_report(index) for index in range(REPORTS_PER_HEARTBEAT)]
@@ -161,7 +161,7 @@
     payload = HeartbeatPayload(service=1, upstream=1, load=Load())
     frame = make_heartbeat(node, payload, now=1.0, seed=1)
     octets = len(encode_frame(KEYS, frame))
-    seconds = _time(lambda: [encode_frame(KEYS, frame) for _ in range(100)]) / 100
+    seconds = _time_call(lambda: [encode_frame(KEYS, frame) for _ in range(100)]) / 100
     short = len(encode_frame(KEYS, make_probe_answer(node, payload)))
     per_second = 2 * FAN_OUT * (octets + short)
     return [
@@ -172,7 +172,7 @@
     ]
 
 
-def _spread(size: int) -> Result:
+def _count_gossip_rounds(size: int) -> Result:
     """Count beats until a generation has reached all of `size` nodes.
 
     Each node sends to a few random peers once a beat, and each peer answers;
--- a/benchmarks/changes.py
+++ b/benchmarks/changes.py
@@ -15,32 +15,32 @@
 from shedsill.testing.documents import PECAN_BOTTOM
 from shedsill.testing.processes import Cluster, run_cluster
 
-FLOWS = 40
-STREAM = "/stream?interval=0.1"
+FLOW_COUNT = 40
+STREAM_PATH = "/stream?interval=0.1"
 SERVICE = "dispatcher"
-SETTLE = 3.0
-WATCH_STEP = 0.05
+SETTLE_SECONDS = 3.0
+WATCH_INTERVAL_SECONDS = 0.05
 
 
 @define
-class Watcher:
+class StreamWatcher:
     """Watches streams for breaks and for the longest silence."""
 
     streams: list[Response]
-    longest: float = 0.0
-    _seen: dict[int, tuple[int, float]] = field(factory=dict)
+    longest_silence: float = 0.0
+    _last_growth: dict[int, tuple[int, float]] = field(factory=dict)
 
     async def run(self) -> None:
         """Watch until cancelled."""
         while True:
             now = time.monotonic()
             for index, stream in enumerate(self.streams):
-                size, since = self._seen.get(index, (-1, now))
+                size, since = self._last_growth.get(index, (-1, now))
                 if len(stream.body) != size:
-                    self._seen[index] = (len(stream.body), now)
+                    self._last_growth[index] = (len(stream.body), now)
                 elif not stream.cut:
-                    self.longest = max(self.longest, now - since)
-            await asyncio.sleep(WATCH_STEP)
+                    self.longest_silence = max(self.longest_silence, now - since)
+            await asyncio.sleep(WATCH_INTERVAL_SECONDS)
 
     def count_broken(self) -> int:
         """Return how many streams have ended."""
@@ -49,19 +49,19 @@
 
 async def _replace_balancers(cluster: Cluster) -> None:
     for name, address in cluster.balancers.items():
-        await _withdraw(cluster, [address.host])
+        await _withdraw_balancers(cluster, [address.host])
         cluster.processes[name].send(signal.SIGTERM)
         await asyncio.to_thread(cluster.processes[name].wait)
         cluster.start_balancer(name, address)
         await cluster.wait_ready(name)
-        await _withdraw(cluster, [])
+        await _withdraw_balancers(cluster, [])
 
 
-async def _drain_all_in_turn(cluster: Cluster) -> None:
+async def _drain_upstreams(cluster: Cluster) -> None:
     names = [n for n, owner in cluster.service_of.items() if owner == SERVICE]
     for name in names[:3]:
         await asyncio.to_thread(cluster.run_command, "drain", "--no-wait", name)
-        await asyncio.sleep(SETTLE / 3)
+        await asyncio.sleep(SETTLE_SECONDS / 3)
         await asyncio.to_thread(cluster.run_command, "undrain", name)
 
 
@@ -76,17 +76,17 @@
     for name in names:
         cluster.processes[name].send(signal.SIGKILL)
     await asyncio.sleep(1.0)
-    await _withdraw(cluster, [cluster.balancers[name].host for name in names])
-    await asyncio.sleep(SETTLE)
+    await _withdraw_balancers(cluster, [cluster.balancers[name].host for name in names])
+    await asyncio.sleep(SETTLE_SECONDS)
 
 
-async def _withdraw(cluster: Cluster, hosts: list[str]) -> None:
+async def _withdraw_balancers(cluster: Cluster, hosts: list[str]) -> None:
     await cluster.fetch(f"{cluster.fabric_url}/balancers", body={"withdrawn": hosts})
 
 
-SCENES = {
+SCENARIOS = {
     "all balancers replaced": _replace_balancers,
-    "three upstreams drained and undrained": _drain_all_in_turn,
+    "three upstreams drained and undrained": _drain_upstreams,
     "three key rotations": _rotate_keys,
     "two of three balancers killed": _kill_balancers,
 }
@@ -96,21 +96,21 @@
     results = []
     async with contextlib.AsyncExitStack() as stack:
         streams = []
-        for _ in range(FLOWS):
+        for _ in range(FLOW_COUNT):
             client = await stack.enter_async_context(
                 open_client(cluster.fronts[SERVICE])
             )
-            streams.append(client.open("GET", STREAM)[1])
-        await asyncio.sleep(SETTLE)
-        for name, scene in SCENES.items():
-            watcher = Watcher(streams)
+            streams.append(client.open("GET", STREAM_PATH)[1])
+        await asyncio.sleep(SETTLE_SECONDS)
+        for name, scene in SCENARIOS.items():
+            watcher = StreamWatcher(streams)
             task = asyncio.create_task(watcher.run())
             await scene(cluster)
-            await asyncio.sleep(SETTLE)
+            await asyncio.sleep(SETTLE_SECONDS)
             task.cancel()
             broken = float(watcher.count_broken())
-            results.append(Result(f"broken of {FLOWS} flows, {name}", broken, ""))
-            results.append(Result(f"longest silence, {name}", watcher.longest, "s"))
+            results.append(Result(f"broken of {FLOW_COUNT} flows, {name}", broken, ""))
+            results.append(Result(f"longest silence, {name}", watcher.longest_silence, "s"))
     return results
 
 
--- a/benchmarks/cluster.py
+++ b/benchmarks/cluster.py
@@ -13,9 +13,9 @@
 from shedsill.testing.processes import Cluster, run_cluster
 
 IDLE_SECONDS = 10.0
-CHANGES = 5
-POLL_PAUSE = 0.02
-OCTETS = "shedsill_control_octets_total "
+CHANGE_COUNT = 5
+POLL_INTERVAL_SECONDS = 0.02
+SENT_BYTES_METRIC = "shedsill_control_octets_total "
 
 
 def measure_cluster() -> list[Result]:
@@ -29,26 +29,26 @@
 async def _measure(cluster: Cluster) -> list[Result]:
     nodes = {**cluster.balancers, **cluster.agents}
     async with aiohttp.ClientSession() as session:
-        before = [await _read_octets(session, a) for a in nodes.values()]
+        before = [await _read_sent_bytes(session, a) for a in nodes.values()]
         start = time.monotonic()
         await asyncio.sleep(IDLE_SECONDS)
-        after = [await _read_octets(session, a) for a in nodes.values()]
+        after = [await _read_sent_bytes(session, a) for a in nodes.values()]
         elapsed = time.monotonic() - start
         rates = [(b - a) / elapsed / 1e3 for a, b in zip(before, after, strict=True)]
-        spreads = [await _time_change(session, cluster) for _ in range(CHANGES)]
+        spreads = [await _time_change(session, cluster) for _ in range(CHANGE_COUNT)]
     mean = sum(rates) / len(rates)
     return [
         Result("control sent per node, 14 nodes, mean", mean, "kB/s"),
         Result("control sent per node, 14 nodes, most", max(rates), "kB/s"),
-        Result("change in force on 14 nodes, mean", sum(spreads) / CHANGES, "s"),
+        Result("change in force on 14 nodes, mean", sum(spreads) / CHANGE_COUNT, "s"),
         Result("change in force on 14 nodes, longest", max(spreads), "s"),
     ]
 
 
-async def _read_octets(session: aiohttp.ClientSession, address) -> float:
+async def _read_sent_bytes(session: aiohttp.ClientSession, address) -> float:
     async with session.get(f"http://{address}/metrics") as response:
         text = await response.text()
-    return float(text.partition(f"\n{OCTETS}")[2].split()[0])
+    return float(text.partition(f"\n{SENT_BYTES_METRIC}")[2].split()[0])
 
 
 async def _time_change(session: aiohttp.ClientSession, cluster: Cluster) -> float:
@@ -59,7 +59,7 @@
     start = time.monotonic()
     for address in nodes:
         while await _read_generation(session, address) < wanted:
-            await asyncio.sleep(POLL_PAUSE)
+            await asyncio.sleep(POLL_INTERVAL_SECONDS)
     return time.monotonic() - start
 
 
--- a/benchmarks/datapath.py
+++ b/benchmarks/datapath.py
@@ -32,11 +32,11 @@
 from shedsill.testing.ports import find_ports
 
 KEYS = KeyRing((bytes(range(32)),))
-SIZE = 1200
-BURST = 40
-ROUNDS = 250
-REDUCER_EVENTS = 20_000
-FLOWS = 100_000
+DATAGRAM_BYTES = 1200
+DATAGRAMS_PER_BURST = 40
+BURST_COUNT = 250
+REDUCER_EVENT_COUNT = 20_000
+FLOW_COUNT = 100_000
 UNLIMITED = FlowLimits(
     per_caller=Rate(per_second=1e9, burst=1e9),
     per_service=Rate(per_second=1e9, burst=1e9),
@@ -60,14 +60,14 @@
     """Return a datagram that a minted connection ID leads to an upstream."""
     route = Route(upstream, 1, incarnation)
     cid = KEYS.make_connection_id(route, epoch=1, nonce=os.urandom(6))
-    return bytes([0x40]) + cid + bytes(SIZE - 1 - len(cid))
+    return bytes([0x40]) + cid + bytes(DATAGRAM_BYTES - 1 - len(cid))
 
 
 def make_initial() -> bytes:
     """Return a datagram that looks like a caller's first packet."""
     cid = os.urandom(8)
     head = bytes([0xC0]) + (1).to_bytes(4, "big") + bytes([8]) + cid + bytes([0, 0])
-    rest = SIZE - len(head) - 2
+    rest = DATAGRAM_BYTES - len(head) - 2
     return head + (0x4000 | rest).to_bytes(2, "big") + bytes(rest)
 
 
@@ -102,8 +102,8 @@
     configuration = make_configuration(4433, Address("127.0.0.1", 20_000), 7)
     state = make_state(configuration)
     packet = make_short_packet(1)
-    established = _time_events(state, [packet] * REDUCER_EVENTS)
-    fresh = _time_events(state, [make_initial() for _ in range(REDUCER_EVENTS // 4)])
+    established = _time_events(state, [packet] * REDUCER_EVENT_COUNT)
+    fresh = _time_events(state, [make_initial() for _ in range(REDUCER_EVENT_COUNT // 4)])
     return [
         Result("reducer, established datagram", established * 1e6, "us"),
         Result("reducer, new flow", fresh * 1e6, "us"),
@@ -117,10 +117,10 @@
     state = _route_flows(state, 1_000)
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
-    state = _route_flows(state, FLOWS)
+    state = _route_flows(state, FLOW_COUNT)
     grown = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
-    return [Result(f"balancer memory after {FLOWS} flows", float(grown), "B")]
+    return [Result(f"balancer memory after {FLOW_COUNT} flows", float(grown), "B")]
 
 
 def _route_flows(state: BalancerState, count: int) -> BalancerState:
@@ -132,7 +132,7 @@
     return state
 
 
-class _DownPlatform:
+class _UnavailablePlatform:
     """A platform that never answers, so that nothing but the datapath runs."""
 
     async def call(self, call: Call) -> Outcome:
@@ -160,10 +160,10 @@
     sender = socket.socket(type=socket.SOCK_DGRAM)
     spent = 0.0
     done = 0
-    for _ in range(ROUNDS):
-        for index in range(BURST):
+    for _ in range(BURST_COUNT):
+        for index in range(DATAGRAMS_PER_BURST):
             sender.sendto(datagrams[(done + index) % len(datagrams)], target)
-        done += BURST
+        done += DATAGRAMS_PER_BURST
         start = time.process_time()
         while count() < done:
             await asyncio.sleep(0)
@@ -221,7 +221,7 @@
     balancer = Balancer(
         options,
         keys=KEYS,
-        platform=_DownPlatform(),
+        platform=_UnavailablePlatform(),
         event_log=EventLog(node="b", level="ERROR"),
     )
     await balancer.start()
@@ -242,7 +242,7 @@
         upstream=1,
         caller=caller,
         load=Load(),
-        datagram=bytes(SIZE),
+        datagram=bytes(DATAGRAM_BYTES),
     )
     envelope = encode_frame(KEYS, frame)
     done = 0
--- a/benchmarks/ledger.py
+++ b/benchmarks/ledger.py
@@ -32,14 +32,14 @@
 )
 from shedsill.datagram._packet import SYN_COPY_DELAYS_SECONDS
 
-WINDOW = 2.0
+WINDOW_SECONDS = 2.0
 """Seconds of the bench's windows."""
 
-OPENING_LIMIT = 1.4
-RETRY_PAUSE = 0.1
+SYN_TIMEOUT_SECONDS = 1.4
+RETRY_DELAY_SECONDS = 0.1
 """Seconds after which callers give up an opening, and then try again."""
 
-BOUND_SEEDS = 5
+BOUND_SEED_COUNT = 5
 
 
 @frozen
@@ -49,7 +49,7 @@
     name: str
     service: str
     share: float
-    work: float
+    service_time: float
     objective: float
     timeout: float
     urgency: int
@@ -63,43 +63,43 @@
 
     Attributes
     ----------
-    rate : float
+    request_rate : float
         Requests a second.
-    slots : dict of str to int
+    slots_by_service : dict of str to int
         Slots of all upstreams of each service.
-    dark : tuple of float or None
+    outage : tuple of float or None
         When power goes and comes back; None on days without such an end.
     """
 
     classes: tuple[RequestClass, ...]
-    rate: float
-    slots: dict[str, int]
+    request_rate: float
+    slots_by_service: dict[str, int]
     cold_time: float
     cold_factor: float
-    dark: tuple[float, float] | None
-    length: float
+    outage: tuple[float, float] | None
+    duration: float
 
 
 @define
-class Tally:
+class RequestTally:
     """What became of the requests of one window or class."""
 
     sent: int = 0
     in_time: int = 0
     late: int = 0
-    owed: float = 0.0
-    earned: float = 0.0
+    possible_worth: float = 0.0
+    earned_worth: float = 0.0
 
-    def add(self, kind: RequestClass, took: float | None) -> None:
+    def count_request(self, request_class: RequestClass, latency: float | None) -> None:
         """Count a request by the time after which its answer came, if any."""
         self.sent += 1
-        self.owed += kind.worth
-        if took is None or took > kind.timeout:
+        self.possible_worth += request_class.worth
+        if latency is None or latency > request_class.timeout:
             return
-        in_time = took <= kind.objective
+        in_time = latency <= request_class.objective
         self.in_time += in_time
         self.late += not in_time
-        self.earned += kind.worth if in_time else kind.late_worth
+        self.earned_worth += request_class.worth if in_time else request_class.late_worth
 
 
 def read_deployment(site: dict, day_name: str) -> Deployment:
@@ -124,7 +124,7 @@
             name=entry["name"],
             service=entry["service"],
             share=mix[entry["name"]] / sum(mix.values()),
-            work=entry["work_ms"]["mean"] / 1000,
+            service_time=entry["work_ms"]["mean"] / 1000,
             objective=entry["aim_ms"] / 1000,
             timeout=entry["deadline_ms"] / 1000,
             urgency=entry["priority"],
@@ -139,71 +139,71 @@
         dark = site["length_s"], site["length_s"] + closing["down_s"]
     return Deployment(
         classes=classes,
-        rate=rate,
-        slots=slots,
+        request_rate=rate,
+        slots_by_service=slots,
         cold_time=first["cold_s"],
         cold_factor=first["cold_x"],
-        dark=dark,
-        length=site["length_s"] + 6.0,
+        outage=dark,
+        duration=site["length_s"] + 6.0,
     )
 
 
-def find_arrival(sent: float, dark: tuple[float, float]) -> float | None:
+def find_syn_arrival(sent_at: float, outage: tuple[float, float]) -> float | None:
     """Return when the first copy of an opening arrives, or None if none does."""
-    for start in (sent, sent + OPENING_LIMIT + RETRY_PAUSE):
+    for start in (sent_at, sent_at + SYN_TIMEOUT_SECONDS + RETRY_DELAY_SECONDS):
         for delay in SYN_COPY_DELAYS_SECONDS:
-            if not dark[0] <= start + delay < dark[1]:
+            if not outage[0] <= start + delay < outage[1]:
                 return start + delay
     return None
 
 
-def play_bound(
+def simulate_bound(
     deployment: Deployment, generator: random.Random
-) -> tuple[dict[int, Tally], dict[str, Tally]]:
+) -> tuple[dict[int, RequestTally], dict[str, RequestTally]]:
     """Serve one drawn day as well as can be; return tallies by window and by class."""
-    windows: dict[int, Tally] = collections.defaultdict(Tally)
-    classes: dict[str, Tally] = collections.defaultdict(Tally)
+    windows: dict[int, RequestTally] = collections.defaultdict(RequestTally)
+    classes: dict[str, RequestTally] = collections.defaultdict(RequestTally)
     by_service: dict[str, list[tuple[float, float, RequestClass]]] = {}
     sent = 0.0
-    while sent < deployment.length:
-        sent += generator.expovariate(deployment.rate)
+    while sent < deployment.duration:
+        sent += generator.expovariate(deployment.request_rate)
         kinds = deployment.classes
         kind = generator.choices(kinds, [kind.share for kind in kinds])[0]
-        arrival = find_arrival(sent, deployment.dark) if deployment.dark else sent
+        arrival = find_syn_arrival(sent, deployment.outage) if deployment.outage else sent
         if arrival is None:
-            _add(windows, classes, sent, kind, None)
+            _count_request(windows, classes, sent, kind, None)
         else:
             entry = (arrival, sent, kind)
             by_service.setdefault(kind.service, []).append(entry)
     for service, arrivals in by_service.items():
-        for sent, kind, took in _serve(deployment, service, arrivals, generator):
-            _add(windows, classes, sent, kind, took)
+        for sent, kind, took in _simulate_service(deployment, service, arrivals, generator):
+            _count_request(windows, classes, sent, kind, took)
     return windows, classes
 
 
-def _add(
-    windows: dict[int, Tally],
-    classes: dict[str, Tally],
-    sent: float,
-    kind: RequestClass,
-    took: float | None,
+def _count_request(
+    windows: dict[int, RequestTally],
+    classes: dict[str, RequestTally],
+    sent_at: float,
+    request_class: RequestClass,
+    latency: float | None,
 ) -> None:
-    windows[int(sent / WINDOW)].add(kind, took)
-    classes[kind.name].add(kind, took)
+    windows[int(sent_at / WINDOW_SECONDS)].count_request(request_class, latency)
+    classes[request_class.name].count_request(request_class, latency)
 
 
-def _serve(
+def _simulate_service(
     deployment: Deployment,
     service: str,
     arrivals: list[tuple[float, float, RequestClass]],
     generator: random.Random,
 ) -> list[tuple[float, RequestClass, float | None]]:
     """Serve the requests of one service; work that power cuts off is lost."""
-    slots = deployment.slots[service]
-    works = [k.work * k.share for k in deployment.classes if k.service == service]
+    slots = deployment.slots_by_service[service]
+    works = [k.service_time * k.share for k in deployment.classes if k.service == service]
     shares = [k.share for k in deployment.classes if k.service == service]
     mean = sum(works) / sum(shares)
-    dark = deployment.dark or (math.inf, math.inf)
+    dark = deployment.outage or (math.inf, math.inf)
     cold_until = dark[1] + deployment.cold_time
     backlog = Backlog()
     waiting: dict[bytes, tuple[float, RequestClass]] = {}
@@ -240,7 +240,7 @@
         flow = choose_next_request(backlog, forecast)
         del backlog.requests[flow]
         sent, kind = waiting.pop(flow)
-        work = generator.expovariate(1 / kind.work)
+        work = generator.expovariate(1 / kind.service_time)
         work *= deployment.cold_factor if cold else 1.0
         end = now + work
         if now < dark[0] < end:
@@ -252,15 +252,15 @@
     return done
 
 
-def weigh(goal: dict, windows: dict[int, Tally], classes: dict[str, Tally]) -> float:
+def compute_worth(goal: dict, windows: dict[int, RequestTally], classes: dict[str, RequestTally]) -> float:
     """Return the worth of a day before prices, as the site's goal weighs its parts."""
-    shares = sorted(t.earned / t.owed for t in windows.values() if t.owed)
-    whole = sum(t.earned for t in classes.values()) / sum(
-        t.owed for t in classes.values()
+    shares = sorted(t.earned_worth / t.possible_worth for t in windows.values() if t.possible_worth)
+    whole = sum(t.earned_worth for t in classes.values()) / sum(
+        t.possible_worth for t in classes.values()
     )
     sent = sum(t.sent for t in classes.values())
     lost = sent - sum(t.in_time + t.late for t in classes.values())
-    worst_class = min(t.earned / t.owed for t in classes.values())
+    worst_class = min(t.earned_worth / t.possible_worth for t in classes.values())
     best = goal.get("nines_best", 0.001)
     nines = min(math.log10(max(lost / sent, best)) / math.log10(best), 1.0)
     return (
@@ -286,13 +286,13 @@
             click.echo(f"  price: {name:30} {price:.4f}")
 
 
-def read_log(path: pathlib.Path) -> dict[int, collections.Counter]:
+def count_log_events(path: pathlib.Path) -> dict[int, collections.Counter]:
     """Count, by window, what the nodes logged; times are those of the day."""
     counts: dict[int, collections.Counter] = collections.defaultdict(
         collections.Counter
     )
     for line in read_lines(path):
-        window = counts[int(line.at / WINDOW)]
+        window = counts[int(line.at / WINDOW_SECONDS)]
         window[line.name] += 1
         if line.name == "request_passed_on":
             window["held seconds"] += line.fields["held_ms"] / 1000
@@ -308,7 +308,7 @@
         if missed * 50 < window["n"]:
             continue
         start = float(window["name"])
-        counts = log.get(int(start / WINDOW), collections.Counter())
+        counts = log.get(int(start / WINDOW_SECONDS), collections.Counter())
         cells = "  ".join(f"{counts[name]:{len(name)}}" for name in events)
         passed = max(counts["request_passed_on"], 1)
         click.echo(
@@ -333,16 +333,16 @@
     if report is not None:
         figures = json.loads(report.read_text())
         print_report(figures)
-        print_windows(figures, read_log(log) if log else {})
+        print_windows(figures, count_log_events(log) if log else {})
     if log is not None:
         print_figures(sum_figures(log))
     values = tomllib.loads(site.read_text())
     deployment = read_deployment(values, day)
     worths = []
-    totals = Tally()
-    for seed in range(BOUND_SEEDS):
-        windows, classes = play_bound(deployment, random.Random(seed))
-        worths.append(weigh(values["goal"], windows, classes))
+    totals = RequestTally()
+    for seed in range(BOUND_SEED_COUNT):
+        windows, classes = simulate_bound(deployment, random.Random(seed))
+        worths.append(compute_worth(values["goal"], windows, classes))
         for tally in classes.values():
             totals.sent += tally.sent
             totals.in_time += tally.in_time
@@ -350,7 +350,7 @@
     lost = totals.sent - totals.in_time - totals.late
     click.echo(
         f"bound {statistics.fmean(worths):.3f} before prices: "
-        f"{totals.late / BOUND_SEEDS:.0f} late, {lost / BOUND_SEEDS:.0f} lost"
+        f"{totals.late / BOUND_SEED_COUNT:.0f} late, {lost / BOUND_SEED_COUNT:.0f} lost"
     )
 
 
--- a/benchmarks/opaque.py
+++ b/benchmarks/opaque.py
@@ -29,12 +29,12 @@
 from shedsill.testing.flow_peers import SERVICE_HOST, make_packet
 
 CODEC = HeaderCodec()
-FLOWS = 20_000
+FLOW_COUNT = 20_000
 SERVICE = "dispatcher"
-AGENTS = 55
+AGENT_COUNT = 55
 
 
-def make_balancer(agents: int = AGENTS) -> BalancerState:
+def make_balancer(agents: int = AGENT_COUNT) -> BalancerState:
     """Return a balancer that knows some agents of one service."""
     report = NodeReport(host="10.0.0.1", role=Role.BALANCER, zone="z", incarnation=1)
     state = BalancerState(report=report, seeds=(), flow_lifetime=60.0, stop_limit=5.0)
@@ -78,41 +78,41 @@
         reduce(state, CallerPacket(packet=packet, now=1.0 + number / 1000))
 
 
-def measure() -> dict[str, float]:
+def measure_reducers() -> dict[str, float]:
     """Return microseconds a packet and octets a flow."""
     tracemalloc.start()
     state = make_balancer()
     before = tracemalloc.get_traced_memory()[0]
-    open_flows(state, FLOWS)
-    octets = (tracemalloc.get_traced_memory()[0] - before) / FLOWS
+    open_flows(state, FLOW_COUNT)
+    octets = (tracemalloc.get_traced_memory()[0] - before) / FLOW_COUNT
     tracemalloc.stop()
     return {
         "balancer, octets a flow": octets,
-        "balancer, us an opening (55 agents)": _time_openings(),
-        "balancer, us a packet of a known flow": _time_packets(state),
-        "agent, us a packet of a known flow": _time_agent(),
+        "balancer, us an opening (55 agents)": _time_flow_openings(),
+        "balancer, us a packet of a known flow": _time_balancer_packets(state),
+        "agent, us a packet of a known flow": _time_agent_packets(),
     }
 
 
-def _time_openings() -> float:
+def _time_flow_openings() -> float:
     state = make_balancer()
     begun = time.perf_counter()
-    open_flows(state, FLOWS)
-    return (time.perf_counter() - begun) / FLOWS * 1e6
+    open_flows(state, FLOW_COUNT)
+    return (time.perf_counter() - begun) / FLOW_COUNT * 1e6
 
 
-def _time_packets(state: BalancerState) -> float:
-    data = [make_data(number, 128, b"x" * 900) for number in range(FLOWS)]
+def _time_balancer_packets(state: BalancerState) -> float:
+    data = [make_data(number, 128, b"x" * 900) for number in range(FLOW_COUNT)]
     begun = time.perf_counter()
     for octets in data:
         packet = CODEC.decode_caller(octets)
         assert packet is not None
         for effect in reduce(state, CallerPacket(packet=packet, now=30.0)):
             CODEC.encode_forwarded(effect.packet, effect.service, effect.route)
-    return (time.perf_counter() - begun) / FLOWS * 1e6
+    return (time.perf_counter() - begun) / FLOW_COUNT * 1e6
 
 
-def _time_agent() -> float:
+def _time_agent_packets() -> float:
     report = NodeReport(
         host="10.1.0.1",
         role=Role.AGENT,
@@ -128,7 +128,7 @@
         assert packet is not None
         opening = ForwardedPacket(packet=packet, service=number, balancer="b", now=1.0)
         reduce(state, opening)
-    data = [make_data(flow % 2000, 128) for flow in range(FLOWS)]
+    data = [make_data(flow % 2000, 128) for flow in range(FLOW_COUNT)]
     begun = time.perf_counter()
     for octets in data:
         packet = CODEC.decode_caller(octets)
@@ -136,9 +136,9 @@
         event = ForwardedPacket(packet=packet, service=number, balancer="b", now=2.0)
         for effect in reduce(state, event):
             CODEC.encode_for_upstream(effect.packet, "10.0.0.1")
-    return (time.perf_counter() - begun) / FLOWS * 1e6
+    return (time.perf_counter() - begun) / FLOW_COUNT * 1e6
 
 
 if __name__ == "__main__":
-    for name, value in measure().items():
+    for name, value in measure_reducers().items():
         print(f"{name}: {value:.1f}")
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -32,11 +32,11 @@
 from shedsill.http3._reducer import reduce
 from shedsill.http3._resources import RequestClass, Service, Upstream, UpstreamSet
 
-SERVICE_TIME = 0.2
-SECONDS = 60.0
+SERVICE_TIME_SECONDS = 0.2
+DURATION_SECONDS = 60.0
 LOADS = (0.5, 1.0, 2.0, 5.0)
-TICK = 0.05
-BALANCED_UPSTREAMS = 7
+TICK_SECONDS = 0.05
+BALANCED_UPSTREAM_COUNT = 7
 BALANCED_LOAD = 0.7
 BALANCED_SECONDS = 600.0
 MICROSECONDS = 1e6
@@ -47,7 +47,7 @@
 
 
 @define
-class Counts:
+class RequestCounts:
     """What became of the requests of one class."""
 
     sent: int = 0
@@ -56,21 +56,21 @@
 
 
 @define
-class Desk:
+class AgentSimulation:
     """One agent and its upstream in simulated time."""
 
     load: float
     slots: int
     generator: random.Random
     now: float = 1_000.0
-    busy: float = 0.0
+    busy_seconds: float = 0.0
     events: list[tuple[float, int, str, int]] = field(factory=list)
     arrivals: dict[int, tuple[float, str]] = field(factory=dict)
-    counts: dict[str, Counts] = field(factory=dict)
+    counts: dict[str, RequestCounts] = field(factory=dict)
     waits: HdrHistogram = field(factory=lambda: HdrHistogram(1, 120_000_000, 3))
-    shares: dict[str, float] = field(factory=lambda: {"claim": 0.5, "upload": 0.5})
+    class_shares: dict[str, float] = field(factory=lambda: {"claim": 0.5, "upload": 0.5})
     state: AgentState | None = None
-    seconds: float = SECONDS
+    duration: float = DURATION_SECONDS
     _order: itertools.count = field(factory=itertools.count)
 
     def __attrs_post_init__(self) -> None:
@@ -94,20 +94,20 @@
         for effect in effects:
             match effect:
                 case SendUpstreamRequest(request=request):
-                    self._start(request)
+                    self._start_request(request)
                 case SendAnswer(request=request):
                     self.counts[self.arrivals[request][1]].done += 1
                 case RefuseRequest(request=request):
                     self.counts[self.arrivals[request][1]].refused += 1
 
-    def _start(self, request: int) -> None:
-        elapsed = self.generator.expovariate(1 / SERVICE_TIME)
+    def _start_request(self, request: int) -> None:
+        elapsed = self.generator.expovariate(1 / SERVICE_TIME_SECONDS)
         waited = self.now - self.arrivals[request][0]
         self.waits.record_value(max(int(waited * MICROSECONDS), 1))
-        self.busy += elapsed
-        self._plan(elapsed, "end", request)
+        self.busy_seconds += elapsed
+        self._schedule(elapsed, "end", request)
 
-    def _plan(self, delay: float, kind: str, request: int) -> None:
+    def _schedule(self, delay: float, kind: str, request: int) -> None:
         entry = (self.now + delay, next(self._order), kind, request)
         heapq.heappush(self.events, entry)
 
@@ -115,26 +115,26 @@
         """Play the scene to its end."""
         start = self.now
         numbers = itertools.count()
-        rate = self.load * self.slots / SERVICE_TIME
-        self._plan(0.0, "tick", 0)
-        self._plan(0.0, "arrive", 0)
-        while self.events[0][0] < start + self.seconds:
+        rate = self.load * self.slots / SERVICE_TIME_SECONDS
+        self._schedule(0.0, "tick", 0)
+        self._schedule(0.0, "arrive", 0)
+        while self.events[0][0] < start + self.duration:
             self.now, _order, kind, request = heapq.heappop(self.events)
             match kind:
                 case "tick":
                     self.dispatch(Tick(now=self.now, seed=0))
-                    self._plan(TICK, "tick", 0)
+                    self._schedule(TICK_SECONDS, "tick", 0)
                 case "arrive":
-                    self._arrive(next(numbers))
-                    self._plan(self.generator.expovariate(rate), "arrive", 0)
+                    self._receive_request(next(numbers))
+                    self._schedule(self.generator.expovariate(rate), "arrive", 0)
                 case _:
-                    self._end(request)
+                    self._answer_request(request)
 
-    def _arrive(self, number: int) -> None:
-        names, weights = zip(*self.shares.items(), strict=True)
+    def _receive_request(self, number: int) -> None:
+        names, weights = zip(*self.class_shares.items(), strict=True)
         name = self.generator.choices(names, weights)[0]
         self.arrivals[number] = (self.now, name)
-        self.counts.setdefault(name, Counts()).sent += 1
+        self.counts.setdefault(name, RequestCounts()).sent += 1
         self.dispatch(
             RequestArrived(
                 request=number,
@@ -150,7 +150,7 @@
             )
         )
 
-    def _end(self, request: int) -> None:
+    def _answer_request(self, request: int) -> None:
         answer = RecordedAnswer(status=200, headers=(), body=b"")
         self.dispatch(
             UpstreamAnswered(
@@ -163,9 +163,9 @@
     """Play each offered load."""
     results = []
     for load in LOADS:
-        desk = Desk(load=load, slots=3, generator=random.Random(5))
+        desk = AgentSimulation(load=load, slots=3, generator=random.Random(5))
         desk.run()
-        ideal = min(load, 1.0) * desk.slots * SECONDS / SERVICE_TIME
+        ideal = min(load, 1.0) * desk.slots * DURATION_SECONDS / SERVICE_TIME_SECONDS
         done = sum(counts.done for counts in desk.counts.values())
         sent = sum(counts.sent for counts in desk.counts.values())
         refused = sum(counts.refused for counts in desk.counts.values())
@@ -173,23 +173,23 @@
         results += [
             Result(f"goodput / ideal, {label}", done / ideal, ""),
             Result(f"refused share, {label}", refused / sent, ""),
-            Result(f"wait p50, {label}", _get_wait(desk, 50), "ms"),
-            Result(f"wait p99, {label}", _get_wait(desk, 99), "ms"),
+            Result(f"wait p50, {label}", _get_wait_milliseconds(desk, 50), "ms"),
+            Result(f"wait p99, {label}", _get_wait_milliseconds(desk, 99), "ms"),
         ]
     return results + _measure_flood() + _measure_slot_balance()
 
 
-def _get_wait(desk: Desk, percentile: float) -> float:
+def _get_wait_milliseconds(desk: AgentSimulation, percentile: float) -> float:
     return desk.waits.get_value_at_percentile(percentile) / 1e3
 
 
 def _measure_flood() -> list[Result]:
     """Flood one class at ten times the other's rate, at 5 times the capacity."""
-    desk = Desk(
+    desk = AgentSimulation(
         load=5.0,
         slots=3,
         generator=random.Random(6),
-        shares={"claim": 0.09, "upload": 0.91},
+        class_shares={"claim": 0.09, "upload": 0.91},
     )
     desk.run()
     claim = desk.counts["claim"]
@@ -203,18 +203,18 @@
     Each upstream's share of the work is its share of the flows, as the steady
     scene of the placement benchmark leaves them.
     """
-    playing = make_steady(BALANCED_UPSTREAMS)
+    playing = make_steady(BALANCED_UPSTREAM_COUNT)
     flows = [agent.flow_count for agent in playing.agents.values()]
     mean = sum(flows) / len(flows)
     busy = []
     for index, count in enumerate(flows):
-        desk = Desk(
+        desk = AgentSimulation(
             load=BALANCED_LOAD * count / mean,
             slots=3,
             generator=random.Random(index),
-            seconds=BALANCED_SECONDS,
+            duration=BALANCED_SECONDS,
         )
         desk.run()
-        busy.append(desk.busy)
+        busy.append(desk.busy_seconds)
     ratio = max(busy) * len(busy) / sum(busy)
     return [Result("max/mean of busy slots, steady, load 0.7", ratio, "")]
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -37,12 +37,12 @@
 from shedsill.http3._reducer import reduce
 from shedsill.http3._resources import Action, Change, Service, Upstream, UpstreamSet
 
-PER_UPSTREAM = 800
-FLOW_RATE = 2_000.0
-BALANCERS = 3
-LAGS = (0.0, 0.1, 1.0, 5.0)
-CHURN = 0.5
-DELAY = 0.003
+FLOWS_PER_UPSTREAM = 800
+FLOWS_PER_SECOND = 2_000.0
+BALANCER_COUNT = 3
+REPORT_LAGS_SECONDS = (0.0, 0.1, 1.0, 5.0)
+CHURN_SHARE = 0.5
+REPORT_DELAY_SECONDS = 0.003
 UNLIMITED = Rate(per_second=1e9, burst=1e9)
 
 
@@ -93,11 +93,11 @@
 
 
 @define
-class Field:
+class PlacementSimulation:
     """Some balancers and agents under one strategy."""
 
     strategy: Strategy
-    lag: float
+    report_lag: float
     generator: random.Random
     inputs: AcceptanceInputs
     slow_start: float = 0.0
@@ -107,9 +107,9 @@
     agents: dict[int, AgentState] = field(factory=dict)
     flows: list[int] = field(factory=list)
     reports: list[tuple[float, int, int, int, Load]] = field(factory=list)
-    refused: int = 0
-    passed: int = 0
-    _reported: dict[tuple[int, int], tuple[float, Load]] = field(factory=dict)
+    refused_count: int = 0
+    passed_on_count: int = 0
+    _sampled_loads: dict[tuple[int, int], tuple[float, Load]] = field(factory=dict)
     _order: itertools.count = field(factory=itertools.count)
 
     def __attrs_post_init__(self) -> None:
@@ -120,7 +120,7 @@
         self.inputs = inputs
         self.configuration = accept_resources(self.configuration, inputs).configuration
         if not self.balancers:
-            self.balancers = [make_state(self.configuration) for _ in range(BALANCERS)]
+            self.balancers = [make_state(self.configuration) for _ in range(BALANCER_COUNT)]
         offered = ConfigurationOffered(configuration=self.configuration, now=self.now)
         self.balancers = [reduce(state, offered)[0] for state in self.balancers]
         policy = self.strategy
@@ -139,9 +139,9 @@
         self._deliver_reports()
         index = self.generator.randrange(len(self.balancers))
         cid = self.generator.randbytes(8)
-        frame = self._route(index, cid)
+        frame = self._route_flow(index, cid)
         if frame is None:
-            self.refused += 1
+            self.refused_count += 1
             return
         for _hop in range(2):
             number = frame.upstream
@@ -152,39 +152,39 @@
             self.agents[number] = state
             sends = [e for e in effects if isinstance(e, Send)]
             if any(isinstance(e, Deliver) for e in effects):
-                self._accept(number, index)
+                self._open_at_agent(number, index)
                 return
             if any(isinstance(e, RefuseFlow) for e in effects) or not sends:
                 break
             assert isinstance(sends[0].frame, ToUpstream)
             frame = sends[0].frame
-            self.passed += 1
-        self.refused += 1
+            self.passed_on_count += 1
+        self.refused_count += 1
 
-    def _accept(self, number: int, balancer: int) -> None:
+    def _open_at_agent(self, number: int, balancer: int) -> None:
         opened = FlowOpened(flow=len(self.flows), now=self.now)
         self.agents[number] = reduce(self.agents[number], opened)[0]
         self.flows.append(number)
         load = self._sample_load(balancer, number)
-        due = self.now + DELAY
+        due = self.now + REPORT_DELAY_SECONDS
         entry = (due, next(self._order), balancer, number, load)
         heapq.heappush(self.reports, entry)
 
     def _sample_load(self, balancer: int, number: int) -> Load:
         """Return the load that a frame to this balancer reports."""
         pair = (balancer, number)
-        sampled, load = self._reported.get(pair, (-1e9, Load()))
-        if self.now - sampled >= self.lag:
+        sampled, load = self._sampled_loads.get(pair, (-1e9, Load()))
+        if self.now - sampled >= self.report_lag:
             load = get_load(self.agents[number])
-            self._reported[pair] = (self.now, load)
+            self._sampled_loads[pair] = (self.now, load)
         return load
 
     def _deliver_reports(self) -> None:
         while self.reports and self.reports[0][0] <= self.now:
             _due, _order, balancer, number, load = heapq.heappop(self.reports)
-            self._report(balancer, number, load)
+            self._deliver_report(balancer, number, load)
 
-    def _report(self, balancer: int, number: int, load: Load) -> None:
+    def _deliver_report(self, balancer: int, number: int, load: Load) -> None:
         if balancer >= len(self.balancers):
             return
         frame = ToCaller(
@@ -200,7 +200,7 @@
         )
         self.balancers[balancer] = reduce(self.balancers[balancer], event)[0]
 
-    def _route(self, index: int, cid: bytes) -> ToUpstream | None:
+    def _route_flow(self, index: int, cid: bytes) -> ToUpstream | None:
         datagram = _make_initial(cid)
         event = CallerDatagram(
             service=1, caller=Address("10.9.0.1", 1), datagram=datagram, now=self.now
@@ -249,7 +249,7 @@
     def open_flows(self, count: int) -> None:
         """Open flows at the scene's rate."""
         for _ in range(count):
-            self.now += 1.0 / FLOW_RATE
+            self.now += 1.0 / FLOWS_PER_SECOND
             self.open_flow()
 
     def get_imbalance(self) -> float:
@@ -268,74 +268,74 @@
     return head + (0x4000 | rest).to_bytes(2, "big") + bytes(rest)
 
 
-def run_steady(scene: Field, upstreams: int) -> None:
+def run_steady(simulation: PlacementSimulation, upstreams: int) -> None:
     """Fill up, then replace half of the flows."""
-    total = upstreams * PER_UPSTREAM
-    scene.open_flows(total)
-    scene.close_flows(CHURN)
-    scene.open_flows(int(total * CHURN))
+    total = upstreams * FLOWS_PER_UPSTREAM
+    simulation.open_flows(total)
+    simulation.close_flows(CHURN_SHARE)
+    simulation.open_flows(int(total * CHURN_SHARE))
 
 
-def run_join(scene: Field, upstreams: int) -> None:
+def run_join(simulation: PlacementSimulation, upstreams: int) -> None:
     """One more upstream joins, cold; then as many flows come as there were."""
-    run_steady(scene, upstreams)
-    scene.configure(make_service(upstreams + 1))
-    scene.close_flows(CHURN)
-    scene.open_flows(int(upstreams * PER_UPSTREAM * CHURN))
+    run_steady(simulation, upstreams)
+    simulation.configure(make_service(upstreams + 1))
+    simulation.close_flows(CHURN_SHARE)
+    simulation.open_flows(int(upstreams * FLOWS_PER_UPSTREAM * CHURN_SHARE))
 
 
-def run_drain(scene: Field, upstreams: int) -> None:
+def run_drain(simulation: PlacementSimulation, upstreams: int) -> None:
     """One upstream drains; its flows come back to the others."""
-    run_steady(scene, upstreams)
+    run_steady(simulation, upstreams)
     change = Change(name="d", action=Action.DRAIN, target="u0")
-    scene.configure(evolve(scene.inputs, changes=(change,)))
-    scene.open_flows(PER_UPSTREAM)
+    simulation.configure(evolve(simulation.inputs, changes=(change,)))
+    simulation.open_flows(FLOWS_PER_UPSTREAM)
 
 
-def run_balancer_loss(scene: Field, upstreams: int) -> None:
+def run_balancer_loss(simulation: PlacementSimulation, upstreams: int) -> None:
     """All balancers but one die; a new one knows no load."""
-    run_steady(scene, upstreams)
-    scene.balancers = [scene.balancers[0], make_state(scene.configuration)]
-    scene.close_flows(CHURN)
-    scene.open_flows(int(upstreams * PER_UPSTREAM * CHURN))
+    run_steady(simulation, upstreams)
+    simulation.balancers = [simulation.balancers[0], make_state(simulation.configuration)]
+    simulation.close_flows(CHURN_SHARE)
+    simulation.open_flows(int(upstreams * FLOWS_PER_UPSTREAM * CHURN_SHARE))
 
 
-def run_crowd(scene: Field, upstreams: int) -> None:
+def run_reconnect_burst(simulation: PlacementSimulation, upstreams: int) -> None:
     """All callers come back within a second after an outage."""
-    scene.open_flows(10)
-    for _ in range(upstreams * PER_UPSTREAM):
-        scene.now += 1.0 / (upstreams * PER_UPSTREAM)
-        scene.open_flow()
+    simulation.open_flows(10)
+    for _ in range(upstreams * FLOWS_PER_UPSTREAM):
+        simulation.now += 1.0 / (upstreams * FLOWS_PER_UPSTREAM)
+        simulation.open_flow()
 
 
-SCENES: dict[str, Callable[[Field, int], None]] = {
+SCENARIOS: dict[str, Callable[[PlacementSimulation, int], None]] = {
     "steady": run_steady,
     "join": run_join,
     "drain": run_drain,
     "balancers lost": run_balancer_loss,
-    "crowd": run_crowd,
+    "crowd": run_reconnect_burst,
 }
 
 
 def measure_placement() -> list[Result]:
     """Measure every strategy; every scene for the one that is used."""
     results = []
-    for (name, strategy), lag in itertools.product(STRATEGIES.items(), LAGS):
-        value = _measure(strategy, lag, "steady", 7)
+    for (name, strategy), lag in itertools.product(STRATEGIES.items(), REPORT_LAGS_SECONDS):
+        value = _measure_imbalance(strategy, lag, "steady", 7)
         results.append(Result(f"max/mean, steady, {name}, lag {lag:g} s", value, ""))
-    for scene, lag in itertools.product(list(SCENES)[1:], (0.1, 1.0)):
+    for scene, lag in itertools.product(list(SCENARIOS)[1:], (0.1, 1.0)):
         for upstreams in (7, 4):
-            value = _measure(TwoCandidates(), lag, scene, upstreams)
+            value = _measure_imbalance(TwoCandidates(), lag, scene, upstreams)
             label = f"max/mean, {scene}, {upstreams} upstreams, lag {lag:g} s"
             results.append(Result(label, value, ""))
     return results + _measure_black_hole() + _measure_slow()
 
 
-def make_steady(upstreams: int) -> Field:
+def make_steady(upstreams: int) -> PlacementSimulation:
     """Return a field under the policy in use, as the steady scene leaves it."""
-    playing = Field(
+    playing = PlacementSimulation(
         strategy=TwoCandidates(),
-        lag=0.1,
+        report_lag=0.1,
         generator=random.Random(11),
         inputs=make_service(upstreams),
     )
@@ -352,9 +352,9 @@
     for _ in range(admission.settings.breaker_failures):
         admission = record_failure(admission, playing.now)
     playing.agents[1] = evolve(hole, admission=admission)
-    playing.open_flows(PER_UPSTREAM)
-    share = (playing.agents[1].flow_count - before) / PER_UPSTREAM
-    refused = playing.refused / PER_UPSTREAM
+    playing.open_flows(FLOWS_PER_UPSTREAM)
+    share = (playing.agents[1].flow_count - before) / FLOWS_PER_UPSTREAM
+    refused = playing.refused_count / FLOWS_PER_UPSTREAM
     return [
         Result("share of new flows to a black hole, 7 upstreams", share, ""),
         Result("share of new flows refused beside it", refused, ""),
@@ -368,17 +368,17 @@
     before = slow.flow_count
     admission = evolve(slow.admission, running=2 * slow.admission.slots)
     playing.agents[1] = evolve(slow, admission=admission)
-    playing.open_flows(PER_UPSTREAM)
-    share = (playing.agents[1].flow_count - before) / PER_UPSTREAM
+    playing.open_flows(FLOWS_PER_UPSTREAM)
+    share = (playing.agents[1].flow_count - before) / FLOWS_PER_UPSTREAM
     return [Result("share of new flows to a slow one, 7 upstreams", share, "")]
 
 
-def _measure(strategy: Strategy, lag: float, scene: str, upstreams: int) -> float:
-    playing = Field(
+def _measure_imbalance(strategy: Strategy, lag: float, scenario: str, upstreams: int) -> float:
+    playing = PlacementSimulation(
         strategy=strategy,
-        lag=lag,
+        report_lag=lag,
         generator=random.Random(11),
         inputs=make_service(upstreams),
     )
-    SCENES[scene](playing, upstreams)
+    SCENARIOS[scenario](playing, upstreams)
     return playing.get_imbalance()
--- a/benchmarks/plays.py
+++ b/benchmarks/plays.py
@@ -22,7 +22,7 @@
 
 
 @frozen
-class Play:
+class BenchRun:
     """One day to be played with one seed in one working copy."""
 
     label: str
@@ -53,18 +53,18 @@
     broken: str = ""
 
 
-def run_play(
-    bench: str, play: Play, *, why: str, free_processor: bool, reports: pathlib.Path
+def run_bench(
+    bench: str, run: BenchRun, *, journal_reason: str, ignore_cpu: bool, report_folder: pathlib.Path
 ) -> Outcome:
     """Play one day and read the bench's report."""
-    name = f"{play.label}-{play.site.stem}-{pathlib.Path(play.day).stem}-{play.seed}"
-    report = reports / f"{name}.json"
-    command = [bench, "run", str(play.site), play.day, "--seed", str(play.seed)]
-    command += ["--report", str(report), "--why", f"{why} [{name}]"]
-    if free_processor:
+    name = f"{run.label}-{run.site.stem}-{pathlib.Path(run.day).stem}-{run.seed}"
+    report = report_folder / f"{name}.json"
+    command = [bench, "run", str(run.site), run.day, "--seed", str(run.seed)]
+    command += ["--report", str(report), "--why", f"{journal_reason} [{name}]"]
+    if ignore_cpu:
         command.append("--no-cpu")
     result = subprocess.run(
-        command, cwd=play.copy, capture_output=True, text=True, check=False
+        command, cwd=run.copy, capture_output=True, text=True, check=False
     )
     if not report.exists():
         return Outcome(broken=f"not played: {(result.stdout + result.stderr)[-300:]}")
@@ -86,7 +86,7 @@
     )
 
 
-def format_row(label: str, place: str, outcomes: list[Outcome]) -> str:
+def format_row(label: str, site_and_day: str, outcomes: list[Outcome]) -> str:
     """Return one line of the table: means, and the spread of the worth."""
     worths = [o.worth for o in outcomes]
     spread = statistics.stdev(worths) if len(worths) > 1 else 0.0
@@ -96,7 +96,7 @@
     )
     broken = "; ".join(sorted({o.broken for o in outcomes if o.broken}))
     return (
-        f"{place:34} {label:22} {statistics.fmean(worths):.3f} ±{spread:.3f}  "
+        f"{site_and_day:34} {label:22} {statistics.fmean(worths):.3f} ±{spread:.3f}  "
         f"{in_time:.4f} {late:.4f} {lost:.4f}  {broken}"
     )
 
@@ -107,7 +107,7 @@
     return label, pathlib.Path(folder)
 
 
-def parse_place(text: str) -> tuple[pathlib.Path, str]:
+def parse_site_and_day(text: str) -> tuple[pathlib.Path, str]:
     """Read ``SITE:DAY``."""
     site, _, day = text.rpartition(":")
     return pathlib.Path(site), day
@@ -132,20 +132,20 @@
 ) -> None:
     """Play every day with every seed in every copy, and print a table."""
     plays = [
-        Play(label, copy, site, day, seed)
-        for site, day in map(parse_place, places)
+        BenchRun(label, copy, site, day, seed)
+        for site, day in map(parse_site_and_day, places)
         for label, copy in map(parse_copy, copies)
         for seed in range(1, seeds + 1)
     ]
     with tempfile.TemporaryDirectory() as folder, ThreadPoolExecutor(jobs) as pool:
         outcomes = list(
             pool.map(
-                lambda play: run_play(
+                lambda play: run_bench(
                     bench,
                     play,
-                    why=why,
-                    free_processor=no_cpu,
-                    reports=pathlib.Path(folder),
+                    journal_reason=why,
+                    ignore_cpu=no_cpu,
+                    report_folder=pathlib.Path(folder),
                 ),
                 plays,
             )
--- a/properties/soak.py
+++ b/properties/soak.py
@@ -35,21 +35,21 @@
 from shedsill.testing.links import Links
 from shedsill.testing.weakened import GUARDS
 
-BALANCERS = 3
-AGENTS = 6
+BALANCER_COUNT = 3
+AGENT_COUNT = 6
 CALLS_PER_SECOND = 20
-FAULT_PAUSE = (0.2, 1.2)
-FAULT_TIME = (0.3, 3.0)
-LONG_SHARE = 0.5
+FAULT_PAUSE_SECONDS = (0.2, 1.2)
+FAULT_DURATION_SECONDS = (0.3, 3.0)
+LONG_FLOW_SHARE = 0.5
 """Share of callers that send several requests on their flow."""
-LONG_REQUESTS = 12
+REQUESTS_PER_LONG_FLOW = 12
 REMAP_SHARE = 0.3
 """Share of flows that the routers soon send to another balancer."""
-NODE = ("shedsill.platform",)
-RECOVERY_TIME = 6.0
-FINAL_CALLS = 24
+NODE_PROGRAM = ("shedsill.platform",)
+RECOVERY_SECONDS = 6.0
+FINAL_CALL_COUNT = 24
 MAX_MEMORY_KB = 80_000
-MAX_LOG_OCTETS = 4_000_000
+MAX_LOG_BYTES = 4_000_000
 
 REGRESSIONS = {
     7: "soak: an agent of the old service restarted beside the new upstream",
@@ -65,16 +65,16 @@
 
 
 @define
-class Soak:
+class SoakRun:
     """One run with one seed."""
 
     deployment: Deployment
     seed: int
     injector: FaultInjector
     faults: list[str] = field(factory=list)
-    _open: set[asyncio.Task] = field(factory=set)
+    _fault_tasks: set[asyncio.Task] = field(factory=set)
 
-    async def play(self, seconds: float) -> list[str]:
+    async def run(self, seconds: float) -> list[str]:
         """Play the run and return what was broken."""
         for host, service in self.injector.agents.items():
             await self.deployment.start_agent(host, service)
@@ -83,31 +83,31 @@
         for host in (*self.injector.agents, *self.injector.balancers):
             await self.deployment.wait_ready(host)
         await self.deployment.wait_known()
-        calls = asyncio.create_task(self._call_steadily())
+        calls = asyncio.create_task(self._send_calls())
         plan = random.Random(self.seed)
         left = seconds
         while left > 0:
-            self._begin_fault(plan)
-            pause = plan.uniform(*FAULT_PAUSE)
+            self._start_fault(plan)
+            pause = plan.uniform(*FAULT_PAUSE_SECONDS)
             await asyncio.sleep(pause)
             left -= pause
-        await asyncio.gather(*self._open)
+        await asyncio.gather(*self._fault_tasks)
         calls.cancel()
         return await self._check_recovery()
 
-    async def _call_steadily(self) -> None:
+    async def _send_calls(self) -> None:
         draw = random.Random(self.seed)
         while True:
             service = draw.choice(SERVICES)
             balancer = draw.choice(self.injector.balancers)
-            is_long = draw.random() < LONG_SHARE
-            requests = LONG_REQUESTS if is_long else 1
+            is_long = draw.random() < LONG_FLOW_SHARE
+            requests = REQUESTS_PER_LONG_FLOW if is_long else 1
             caller = self.deployment.call(service, balancer, requests=requests)
             if draw.random() < REMAP_SHARE:
-                self._remap(caller.flow, draw)
+                self._remap_flow(caller.flow, draw)
             await asyncio.sleep(1 / CALLS_PER_SECOND)
 
-    def _remap(self, flow: bytes, draw: random.Random) -> None:
+    def _remap_flow(self, flow: bytes, draw: random.Random) -> None:
         """Have the routers send a flow to another balancer soon."""
         other = draw.choice(self.injector.balancers)
         asyncio.get_running_loop().call_later(
@@ -115,33 +115,33 @@
             lambda: self.deployment.routers.update({flow: other}),
         )
 
-    def _begin_fault(self, plan: random.Random) -> None:
-        fault = plan.choice(self.injector.list_kinds())
-        span = plan.uniform(*FAULT_TIME)
+    def _start_fault(self, plan: random.Random) -> None:
+        fault = plan.choice(self.injector.list_faults())
+        span = plan.uniform(*FAULT_DURATION_SECONDS)
         host = plan.choice([*self.injector.agents, *self.injector.balancers])
         draw = random.Random(plan.getrandbits(32))
         name = getattr(fault, "__name__", "")
         self.faults.append(f"{name} {host} {span:.1f}")
         task = asyncio.create_task(fault(host, span, draw))
-        self._open.add(task)
-        task.add_done_callback(self._open.discard)
+        self._fault_tasks.add(task)
+        task.add_done_callback(self._fault_tasks.discard)
 
     async def _check_recovery(self) -> list[str]:
         """Take the last faults back; then every request must be answered."""
         self.injector.get_links().faults.clear()
         for host in (*self.injector.agents, *self.injector.balancers):
-            await self.injector.ensure(host)
+            await self.injector.ensure_running(host)
         for host, upstream in list(self.deployment.upstreams.items()):
             upstream.state = UpstreamState.READY
             if not upstream.alive:
                 await self.deployment.start_upstream(host, self.injector.agents[host])
-        await asyncio.sleep(RECOVERY_TIME)
+        await asyncio.sleep(RECOVERY_SECONDS)
         callers = [
             self.deployment.call(
                 SERVICES[n % 2],
                 self.injector.balancers[n % len(self.injector.balancers)],
             )
-            for n in range(FINAL_CALLS)
+            for n in range(FINAL_CALL_COUNT)
         ]
         # A request without any outcome is reported below, as the others are.
         with contextlib.suppress(TimeoutError):
@@ -164,7 +164,7 @@
         if int(memory.split()[1]) > MAX_MEMORY_KB:
             broken.append(f"{host} holds {memory}")
         log = self.deployment.folder / f"{host}.log"
-        if log.stat().st_size > MAX_LOG_OCTETS:
+        if log.stat().st_size > MAX_LOG_BYTES:
             broken.append(f"{host} wrote {log.stat().st_size} octets of log")
         if "Traceback" in log.read_text():
             broken.append(f"{host} wrote a traceback")
@@ -175,8 +175,8 @@
     seed: int,
     seconds: float,
     *,
-    balancers: int = BALANCERS,
-    agents: int = AGENTS,
+    balancers: int = BALANCER_COUNT,
+    agents: int = AGENT_COUNT,
     without: str = "",
 ) -> list[str]:
     """Play one run; print and return what was broken.
@@ -186,7 +186,7 @@
     without : str
         A guard of `shedsill.testing.weakened` that is taken out.
     """
-    program = ("shedsill.testing.weakened", without) if without else NODE
+    program = ("shedsill.testing.weakened", without) if without else NODE_PROGRAM
     folder = pathlib.Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
 
     async def run() -> tuple[list[str], list[str], int]:
@@ -202,8 +202,8 @@
                     f"127.0.2.{n + 1}": SERVICES[n % 3 == 2] for n in range(agents)
                 },
             )
-            soak = Soak(deployment=deployment, seed=seed, injector=injector)
-            broken = await soak.play(seconds)
+            soak = SoakRun(deployment=deployment, seed=seed, injector=injector)
+            broken = await soak.run(seconds)
             return broken, soak.faults, len(deployment.callers)
 
     broken, faults, calls = asyncio.run(run())
@@ -220,8 +220,8 @@
 @click.option("--seeds", default="1-3", show_default=True, help="FIRST-LAST.")
 @click.option("--seconds", default=12.0, show_default=True, help="Faults in a run.")
 @click.option("--fresh", default=0.0, help="Minutes of runs with fresh seeds.")
-@click.option("--balancers", default=BALANCERS, show_default=True)
-@click.option("--agents", default=AGENTS, show_default=True)
+@click.option("--balancers", default=BALANCER_COUNT, show_default=True)
+@click.option("--agents", default=AGENT_COUNT, show_default=True)
 @click.option("--without", default="", type=click.Choice(["", *GUARDS]))
 @click.option("--regressions", is_flag=True, help="Only seeds that failed once.")
 def main(seeds: str, seconds: float, fresh: float, regressions: bool, **size) -> None:
--- a/properties/soak_faults.py
+++ b/properties/soak_faults.py
@@ -18,16 +18,16 @@
 from shedsill.testing.links import LinkFault, Links
 
 SERVICES = ("dispatcher", "intake")
-PLANNED_ONLY = 3
+PLANNED_ONLY_DIVISOR = 3
 """Each seed that this divides has planned steps only."""
-DEAF_RUNS, DEAF_REST = 5, 3
+LOSSY_SEED_MODULUS, LOSSY_SEED_REMAINDER = 5, 3
 """Each seed with this rest has balancers that hear little; no VM counts as disturbed by
 that, since what a balancer does not hear must end no flow."""
-DEAF_TIME = (1.0, 4.0)
-FLAPS = 3
-WEAK_LINK = LinkFault(delay=0.02, jitter=0.1, loss=0.1, copies=0.2)
-DEAF_LINK = LinkFault(loss=0.5)
-CUT = LinkFault(cut=True)
+LOSS_SECONDS = (1.0, 4.0)
+FLAP_COUNT = 3
+DEGRADED_LINK = LinkFault(delay=0.02, jitter=0.1, loss=0.1, copies=0.2)
+LOSSY_LINK = LinkFault(loss=0.5)
+CUT_LINK = LinkFault(cut=True)
 STORE_FAULTS = ("busy", "reset", "silent", "slow", "lost", "forgotten")
 
 Fault = Callable[[str, float, random.Random], Awaitable[None]]
@@ -42,57 +42,57 @@
     seed: int
     balancers: tuple[str, ...]
     agents: dict[str, str]
-    _starting: dict[str, asyncio.Lock] = field(factory=dict)
+    _start_locks: dict[str, asyncio.Lock] = field(factory=dict)
 
-    def list_kinds(self) -> tuple[Fault, ...]:
+    def list_faults(self) -> tuple[Fault, ...]:
         """Return the faults of this run; every third seed has planned steps only,
         so that no VM counts as disturbed and every reset is judged."""
         planned = (
-            self.stop,
-            self.hang_up,
+            self.stop_node,
+            self.reload_settings,
             self.drain_upstream,
             self.change_table,
         )
-        if self.seed % PLANNED_ONLY == 0:
+        if self.seed % PLANNED_ONLY_DIVISOR == 0:
             return planned
-        deaf = (self.deafen_balancer,) * 4
+        deaf = (self.lose_balancer_packets,) * 4
         return (
             *planned,
-            *(deaf if self.seed % DEAF_RUNS == DEAF_REST else ()),
-            self.kill,
-            self.freeze,
+            *(deaf if self.seed % LOSSY_SEED_MODULUS == LOSSY_SEED_REMAINDER else ()),
+            self.kill_node,
+            self.freeze_node,
             self.crash_upstream,
             self.flap_upstream,
             self.replace_upstream,
-            self.disturb_store,
+            self.degrade_store,
             self.cut_link,
             self.cut_node,
-            self.weaken_node,
+            self.degrade_node_links,
             self.reset_connections,
         )
 
-    async def kill(self, host: str, span: float, draw: random.Random) -> None:
+    async def kill_node(self, host: str, span: float, draw: random.Random) -> None:
         self.deployment.disturb(host, span)
         await self.deployment.kill(host)
         await asyncio.sleep(span)
-        await self.ensure(host)
+        await self.ensure_running(host)
 
-    async def freeze(self, host: str, span: float, draw: random.Random) -> None:
+    async def freeze_node(self, host: str, span: float, draw: random.Random) -> None:
         self.deployment.disturb(host, span)
         node = self.deployment.nodes[host]
         node.signal(signal.SIGSTOP)
         await asyncio.sleep(span)
         node.signal(signal.SIGCONT)
 
-    async def stop(self, host: str, span: float, draw: random.Random) -> None:
+    async def stop_node(self, host: str, span: float, draw: random.Random) -> None:
         """Ask a node to stop; it starts again when it has ended."""
         node = self.deployment.nodes[host]
         node.signal(signal.SIGTERM)
         if node.process is not None:
             await node.process.wait()
-        await self.ensure(host)
+        await self.ensure_running(host)
 
-    async def hang_up(self, host: str, span: float, draw: random.Random) -> None:
+    async def reload_settings(self, host: str, span: float, draw: random.Random) -> None:
         self.deployment.change_settings(host, seeds=[f"{self.balancers[0]}:1"])
         self.deployment.nodes[host].signal(signal.SIGHUP)
 
@@ -110,9 +110,9 @@
         self.deployment.upstreams[host].state = UpstreamState.READY
 
     async def flap_upstream(self, host: str, span: float, draw: random.Random) -> None:
-        for _ in range(FLAPS):
-            await self.crash_upstream(host, span / FLAPS, draw)
-            await asyncio.sleep(span / FLAPS)
+        for _ in range(FLAP_COUNT):
+            await self.crash_upstream(host, span / FLAP_COUNT, draw)
+            await asyncio.sleep(span / FLAP_COUNT)
 
     async def replace_upstream(
         self, host: str, span: float, draw: random.Random
@@ -122,7 +122,7 @@
         if list(self.agents.values()).count(self.agents[host]) == 1:
             return
         self.deployment.disturb(host, span)
-        async with self._get_lock(host):
+        async with self._get_start_lock(host):
             # No other fault may start the old agent beside the new upstream.
             self.deployment.upstreams[host].crash()
             await self.deployment.kill(host)
@@ -132,13 +132,13 @@
         await asyncio.sleep(span)
         if not self.deployment.upstreams[host].alive:
             await self.deployment.start_upstream(host, self.agents[host])
-        await self.ensure(host)
+        await self.ensure_running(host)
 
     async def cut_link(self, host: str, span: float, draw: random.Random) -> None:
         """Cut one direction between two nodes."""
         others = [*self.agents, *self.balancers, STORE_HOST]
         other = draw.choice([other for other in others if other != host])
-        await self._break_links([(host, other)], CUT, span)
+        await self._break_links([(host, other)], CUT_LINK, span)
 
     async def cut_node(self, host: str, span: float, draw: random.Random) -> None:
         """Cut a node off, from all others or only from the store."""
@@ -146,23 +146,23 @@
         if draw.random() < 0.5:
             others = [STORE_HOST]
         links = [link for o in others for link in ((host, o), (o, host))]
-        await self._break_links(links, CUT, span)
+        await self._break_links(links, CUT_LINK, span)
 
-    async def weaken_node(self, host: str, span: float, draw: random.Random) -> None:
+    async def degrade_node_links(self, host: str, span: float, draw: random.Random) -> None:
         """Delay, lose, double and reorder what goes to and from a node."""
         others = [*self.agents, *self.balancers]
         links = [link for o in others for link in ((host, o), (o, host))]
-        await self._break_links(links, WEAK_LINK, span)
+        await self._break_links(links, DEGRADED_LINK, span)
 
-    async def deafen_balancer(
+    async def lose_balancer_packets(
         self, host: str, span: float, draw: random.Random
     ) -> None:
         """Lose half of what goes between a balancer and the agents."""
         host = draw.choice(self.balancers)
         faults = self.get_links().faults
         links = [link for a in self.agents for link in ((host, a), (a, host))]
-        faults.update(dict.fromkeys(links, DEAF_LINK))
-        await asyncio.sleep(draw.uniform(*DEAF_TIME))
+        faults.update(dict.fromkeys(links, LOSSY_LINK))
+        await asyncio.sleep(draw.uniform(*LOSS_SECONDS))
         for link in links:
             faults.pop(link, None)
 
@@ -188,7 +188,7 @@
         assert self.deployment.links is not None
         return self.deployment.links
 
-    async def disturb_store(self, host: str, span: float, draw: random.Random) -> None:
+    async def degrade_store(self, host: str, span: float, draw: random.Random) -> None:
         faults = self.deployment.store.faults
         match draw.choice(STORE_FAULTS):
             case "slow":
@@ -205,11 +205,11 @@
     async def change_table(self, host: str, span: float, draw: random.Random) -> None:
         self.deployment.write_table()
 
-    def _get_lock(self, host: str) -> asyncio.Lock:
-        return self._starting.setdefault(host, asyncio.Lock())
+    def _get_start_lock(self, host: str) -> asyncio.Lock:
+        return self._start_locks.setdefault(host, asyncio.Lock())
 
-    async def ensure(self, host: str) -> None:
+    async def ensure_running(self, host: str) -> None:
         """Start a node that has ended; overlapping faults start it only once."""
-        async with self._get_lock(host):
+        async with self._get_start_lock(host):
             if not self.deployment.nodes[host].running:
                 await self.deployment.restart(host)
--- a/properties/test_bytes.py
+++ b/properties/test_bytes.py
@@ -25,7 +25,7 @@
 from shedsill.tests.test_routing import CONFIGURATION
 
 KEYS = KeyRing((bytes(range(32)),))
-seeded = settings(derandomize=True, database=None, deadline=None, max_examples=300)
+deterministic = settings(derandomize=True, database=None, deadline=None, max_examples=300)
 packets = st.one_of(
     st.binary(max_size=1500),
     st.builds(
@@ -37,7 +37,7 @@
     ),
     st.builds(lambda rest: b"\x50" + rest, st.binary(max_size=60)),
 )
-fields = st.recursive(
+json_values = st.recursive(
     st.none() | st.booleans() | st.integers() | st.text(max_size=12),
     lambda inner: (
         st.lists(inner, max_size=3)
@@ -47,7 +47,7 @@
 )
 
 
-@seeded
+@deterministic
 @given(packets)
 def test_any_datagram_is_routed_or_dropped(datagram: bytes) -> None:
     read_packet_header(datagram)
@@ -58,7 +58,7 @@
     assert effects
 
 
-@seeded
+@deterministic
 @given(st.binary(max_size=400), st.booleans())
 def test_any_message_between_nodes_is_decoded_or_refused(
     data: bytes, signed: bool
@@ -74,34 +74,34 @@
             decode(KEYS, envelope)
 
 
-@seeded
+@deterministic
 @given(st.text(max_size=80))
 def test_any_key_is_a_ticket_or_none(text: str) -> None:
     assert KEYS.decrypt_ticket(text) is None
 
 
-@seeded
+@deterministic
 @given(st.binary(max_size=200))
 def test_any_configuration_text_is_decoded_or_refused(data: bytes) -> None:
     with contextlib.suppress(DecodeError):
         decode_configuration_text(data)
 
 
-@seeded
+@deterministic
 @given(st.text(max_size=200))
 def test_any_text_is_documents_or_refused(text: str) -> None:
     with contextlib.suppress(DocumentError):
         parse_documents(text)
 
 
-@seeded
+@deterministic
 @given(
     st.sampled_from(["Service", "UpstreamSet", "Change"]),
     st.dictionaries(
         st.sampled_from(
             ["address", "slots", "classes", "service", "upstreams", "action", "target"]
         ),
-        fields,
+        json_values,
     ),
 )
 def test_any_fields_are_a_resource_or_refused(kind: str, spec: dict) -> None:
--- a/properties/test_datagram_messages.py
+++ b/properties/test_datagram_messages.py
@@ -43,19 +43,19 @@
 HOSTS = ("10.1.0.1", "10.1.0.2", "10.1.0.3", "10.9.9.9")
 CALLERS = tuple((0x64400000 + number, 40_000) for number in range(4))
 SERVICE = (SERVICE_HOST, 443)
-STEPS = 40
+MIN_STEPS = 40
 
 
-def make_caller_packet(caller: tuple[int, int], *, opening: bool) -> Packet:
-    bits = BITS[SYN] if opening else BITS[ACK]
-    content = b"" if opening else b"request"
+def make_caller_packet(caller: tuple[int, int], *, syn: bool) -> Packet:
+    bits = BITS[SYN] if syn else BITS[ACK]
+    content = b"" if syn else b"request"
     packet = CODEC.decode_caller(make_packet(caller, SERVICE, bits, content=content))
     assert packet is not None
     return packet
 
 
 PACKETS = [
-    make_caller_packet(caller, opening=first)
+    make_caller_packet(caller, syn=first)
     for caller in CALLERS
     for first in (True, False)
 ]
@@ -142,14 +142,14 @@
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
-@given(st.lists(steps, min_size=STEPS, max_size=2 * STEPS))
+@given(st.lists(steps, min_size=MIN_STEPS, max_size=2 * MIN_STEPS))
 def test_a_balancer_takes_any_message(series: list) -> None:
     world = World(services=("dispatcher",))
     for host in HOSTS[:3]:
         world.add_agent(host, "dispatcher", first=True)
     state = world.add_balancer("10.0.0.1")
     world.run(0.1)
-    callers = [world.call("dispatcher", "10.0.0.1", requests=STEPS) for _ in CALLERS]
+    callers = [world.call("dispatcher", "10.0.0.1", requests=MIN_STEPS) for _ in CALLERS]
     world.run(0.05)
     assert {caller.flow for caller in callers} == state.flows.keys() == set(FLOWS)
     now = world.now
--- a/properties/test_datagram_world.py
+++ b/properties/test_datagram_world.py
@@ -25,13 +25,13 @@
     "10.2.0.1": "intake",
     "10.2.0.2": "intake",
 }
-RESTART_TIME = 0.3
+RESTART_SECONDS = 0.3
 """Seconds after which the platform starts a process again."""
 
-LONG_REQUESTS = 12
+REQUESTS_PER_LONG_FLOW = 12
 """Requests on a long flow, with pauses between them."""
 
-REST = 40.0
+IDLE_SECONDS = 40.0
 """Seconds after which a series without callers must have left nothing behind."""
 
 balancers = st.sampled_from(BALANCERS)
@@ -53,9 +53,9 @@
     @rule(
         service=st.sampled_from(SERVICES),
         balancer=balancers,
-        requests=st.sampled_from([1, LONG_REQUESTS]),
+        requests=st.sampled_from([1, REQUESTS_PER_LONG_FLOW]),
     )
-    def call(self, service: str, balancer: str, requests: int) -> None:
+    def start_caller(self, service: str, balancer: str, requests: int) -> None:
         self.world.call(service, balancer, requests=requests)
 
     @rule(seconds=st.floats(0.001, 1.5))
@@ -64,7 +64,7 @@
 
     @precondition(lambda self: self.world.callers)
     @rule(data=st.data(), balancer=balancers)
-    def remap(self, data: st.DataObject, balancer: str) -> None:
+    def remap_flow(self, data: st.DataObject, balancer: str) -> None:
         flow = data.draw(st.sampled_from(sorted(self.world.routers)))
         self.world.routers[flow] = balancer
 
@@ -72,7 +72,7 @@
     def restart_balancer(self, host: str) -> None:
         zone = self.world.nodes[host].report.zone
         self.world.kill(host)
-        self.world.run(RESTART_TIME)
+        self.world.run(RESTART_SECONDS)
         self.world.add_balancer(host, zone=zone)
 
     @rule(hosts=st.sets(agents, min_size=1))
@@ -80,7 +80,7 @@
         zones = {host: self.world.nodes[host].report.zone for host in hosts}
         for host in hosts:
             self.world.kill(host)
-        self.world.run(RESTART_TIME)
+        self.world.run(RESTART_SECONDS)
         for host in sorted(hosts):
             self.world.add_agent(host, AGENTS[host], zone=zones[host])
 
@@ -90,26 +90,26 @@
         self.world.stop(host)
         self.world.run(0.1)
         self.world.kill(host)
-        self.world.run(RESTART_TIME)
+        self.world.run(RESTART_SECONDS)
         self.world.add_agent(host, AGENTS[host], zone=zone)
 
     @rule()
-    def restart_everything(self) -> None:
+    def restart_all_nodes(self) -> None:
         for host in BALANCERS:
             self.world.kill(host)
         self.restart_agents(set(AGENTS))
         for number, host in enumerate(BALANCERS):
             self.world.add_balancer(host, zone=f"z{number % 2}")
 
-    @rule(ended=st.sets(agents), dark=st.floats(0.0, 2.0))
-    def lose_power(self, ended: set[str], dark: float) -> None:
+    @rule(crashed=st.sets(agents), outage=st.floats(0.0, 2.0))
+    def lose_power(self, crashed: set[str], outage: float) -> None:
         """End all nodes and some upstreams; those start again with their VMs."""
         for host in (*BALANCERS, *AGENTS):
             self.world.kill(host)
-        for host in sorted(ended):
+        for host in sorted(crashed):
             self.world.crash_upstream(host)
-        self.world.run(dark)
-        for host in sorted(ended):
+        self.world.run(outage)
+        for host in sorted(crashed):
             self.world.start_upstream(host, AGENTS[host])
         for number, host in enumerate(BALANCERS):
             self.world.add_balancer(host, zone=f"z{number % 2}")
@@ -117,30 +117,30 @@
             self.world.add_agent(host, service, zone=f"z{number % 2}")
 
     @rule(hosts=st.sets(balancers))
-    def rest_watches(self, hosts: set[str]) -> None:
+    def delay_watches(self, hosts: set[str]) -> None:
         """Have only the other balancers hear at once of what the store holds."""
         self.world.resting = hosts
 
     @rule(host=agents)
     def restart_upstream(self, host: str) -> None:
         self.world.crash_upstream(host)
-        self.world.run(RESTART_TIME)
+        self.world.run(RESTART_SECONDS)
         self.world.start_upstream(host, AGENTS[host])
         self.world._send_beat(host)
 
     @rule(host=agents, delay=st.floats(0.0, 1.0))
-    def restart_upstream_unseen(self, host: str, delay: float) -> None:
+    def restart_upstream_before_heartbeat(self, host: str, delay: float) -> None:
         """The new run takes flows before its first heartbeat arrives."""
         self.world.crash_upstream(host)
-        self.world.run(RESTART_TIME)
+        self.world.run(RESTART_SECONDS)
         self.world.start_upstream(host, AGENTS[host])
         for balancer in BALANCERS:
-            self.world.call(AGENTS[host], balancer, requests=LONG_REQUESTS)
+            self.world.call(AGENTS[host], balancer, requests=REQUESTS_PER_LONG_FLOW)
         self.world.run(delay)
         self.world._send_beat(host)
 
     @rule(host=balancers, seconds=st.floats(0.1, 5.0), seed=st.integers(0, 99))
-    def deafen_balancer(self, host: str, seconds: float, seed: int) -> None:
+    def lose_balancer_packets(self, host: str, seconds: float, seed: int) -> None:
         """Lose most of what it sends and is sent, then less and less of it."""
         self.world.is_lost = losses = Losses(host, 1.0, seed)
         for losses.share in (1.0, 0.6, 0.3):
@@ -148,13 +148,13 @@
         self.world.is_lost = lambda source, to: False
 
     @rule(host=agents, state=st.sampled_from(UpstreamState))
-    def change_state(self, host: str, state: UpstreamState) -> None:
+    def change_upstream_state(self, host: str, state: UpstreamState) -> None:
         if state in (UpstreamState.READY, UpstreamState.DRAINING):
             self.world.upstreams[host].state = state
             self.world._send_beat(host)
 
     @rule(is_up=st.booleans())
-    def change_store(self, is_up: bool) -> None:
+    def toggle_store(self, is_up: bool) -> None:
         if is_up:
             self.world.return_store()
         self.world.store_up = is_up
@@ -165,7 +165,7 @@
         self.world.change_table(table, tuple(sorted(hosts)))
 
     @invariant()
-    def tables_never_go_back(self) -> None:
+    def table_versions_never_decrease(self) -> None:
         newest = self.world.table.version
         assert all(
             0 < self.world.nodes[host].table.version <= newest for host in BALANCERS
@@ -173,14 +173,14 @@
 
     def teardown(self) -> None:
         """Once all is well again, new requests are answered and nothing is left."""
-        self.change_store(True)
+        self.toggle_store(True)
         for host in AGENTS:
-            self.change_state(host, UpstreamState.READY)
+            self.change_upstream_state(host, UpstreamState.READY)
         self.world.run(5.0)
         callers = [self.world.call(s, b) for s in SERVICES for b in BALANCERS]
         self.world.run(3.0)
         assert {caller.outcome for caller in callers} == {"answered"}
-        self.world.run(REST)
+        self.world.run(IDLE_SECONDS)
         for host in BALANCERS:
             state = self.world.nodes[host]
             assert not (state.flows or state.searches or state.pending_flows)
--- a/properties/test_soak.py
+++ b/properties/test_soak.py
@@ -8,13 +8,13 @@
 
 MIXED_SEED = 1
 PLANNED_SEED = 3
-DEAF_SEED = 8
-SECONDS = 4.0
+LOSSY_SEED = 8
+FAULT_SECONDS = 4.0
 
 
-@pytest.mark.parametrize("seed", [MIXED_SEED, PLANNED_SEED, DEAF_SEED])
+@pytest.mark.parametrize("seed", [MIXED_SEED, PLANNED_SEED, LOSSY_SEED])
 def test_a_short_soak_keeps_every_promise(seed: int) -> None:
-    assert run_seed(seed, SECONDS) == []
+    assert run_seed(seed, FAULT_SECONDS) == []
 
 
 def test_the_soak_finds_changed_packets() -> None:
