--- a/benchmarks/agents.py
+++ b/benchmarks/agents.py
@@ -115,7 +115,11 @@
     return [
         Result("agent, handshake", cost * 1e3, "ms"),
         Result("agent, handshakes/s", 1 / cost, "1/s"),
-        Result("agent, memory per connection", weighed.allocated_bytes / HANDSHAKE_COUNT / 1e3, "kB"),
+        Result(
+            "agent, memory per connection",
+            weighed.allocated_bytes / HANDSHAKE_COUNT / 1e3,
+            "kB",
+        ),
     ]
 
 
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -118,7 +118,9 @@
         *_fit_line("configuration, octets per upstream", UPSTREAM_COUNTS, octets, "B"),
         *_fit_line("accepting, per upstream", UPSTREAM_COUNTS, accepting, "us"),
         *_fit_line("decoding, per upstream", UPSTREAM_COUNTS, decoding, "us"),
-        *_fit_line("memory of a configuration, per upstream", UPSTREAM_COUNTS, memory, "B"),
+        *_fit_line(
+            "memory of a configuration, per upstream", UPSTREAM_COUNTS, memory, "B"
+        ),
     ]
 
 
@@ -141,7 +143,9 @@
         state = evolve(state, node=evolve(state.node, membership=membership))
         by_member.append(_time_tick(state) * 1e6)
     return [
-        *_fit_line("beat of a balancer, per upstream", UPSTREAM_COUNTS, by_upstream, "us"),
+        *_fit_line(
+            "beat of a balancer, per upstream", UPSTREAM_COUNTS, by_upstream, "us"
+        ),
         *_fit_line("beat of a balancer, per member", UPSTREAM_COUNTS, by_member, "us"),
     ]
 
--- a/benchmarks/changes.py
+++ b/benchmarks/changes.py
@@ -110,7 +110,9 @@
             task.cancel()
             broken = float(watcher.count_broken())
             results.append(Result(f"broken of {FLOW_COUNT} flows, {name}", broken, ""))
-            results.append(Result(f"longest silence, {name}", watcher.longest_silence, "s"))
+            results.append(
+                Result(f"longest silence, {name}", watcher.longest_silence, "s")
+            )
     return results
 
 
--- a/benchmarks/datapath.py
+++ b/benchmarks/datapath.py
@@ -103,7 +103,9 @@
     state = make_state(configuration)
     packet = make_short_packet(1)
     established = _time_events(state, [packet] * REDUCER_EVENT_COUNT)
-    fresh = _time_events(state, [make_initial() for _ in range(REDUCER_EVENT_COUNT // 4)])
+    fresh = _time_events(
+        state, [make_initial() for _ in range(REDUCER_EVENT_COUNT // 4)]
+    )
     return [
         Result("reducer, established datagram", established * 1e6, "us"),
         Result("reducer, new flow", fresh * 1e6, "us"),
--- a/benchmarks/ledger.py
+++ b/benchmarks/ledger.py
@@ -99,7 +99,9 @@
         in_time = latency <= request_class.objective
         self.in_time += in_time
         self.late += not in_time
-        self.earned_worth += request_class.worth if in_time else request_class.late_worth
+        self.earned_worth += (
+            request_class.worth if in_time else request_class.late_worth
+        )
 
 
 def read_deployment(site: dict, day_name: str) -> Deployment:
@@ -169,14 +171,18 @@
         sent += generator.expovariate(deployment.request_rate)
         kinds = deployment.classes
         kind = generator.choices(kinds, [kind.share for kind in kinds])[0]
-        arrival = find_syn_arrival(sent, deployment.outage) if deployment.outage else sent
+        arrival = (
+            find_syn_arrival(sent, deployment.outage) if deployment.outage else sent
+        )
         if arrival is None:
             _count_request(windows, classes, sent, kind, None)
         else:
             entry = (arrival, sent, kind)
             by_service.setdefault(kind.service, []).append(entry)
     for service, arrivals in by_service.items():
-        for sent, kind, took in _simulate_service(deployment, service, arrivals, generator):
+        for sent, kind, took in _simulate_service(
+            deployment, service, arrivals, generator
+        ):
             _count_request(windows, classes, sent, kind, took)
     return windows, classes
 
@@ -200,7 +206,9 @@
 ) -> list[tuple[float, RequestClass, float | None]]:
     """Serve the requests of one service; work that power cuts off is lost."""
     slots = deployment.slots_by_service[service]
-    works = [k.service_time * k.share for k in deployment.classes if k.service == service]
+    works = [
+        k.service_time * k.share for k in deployment.classes if k.service == service
+    ]
     shares = [k.share for k in deployment.classes if k.service == service]
     mean = sum(works) / sum(shares)
     dark = deployment.outage or (math.inf, math.inf)
@@ -252,9 +260,13 @@
     return done
 
 
-def compute_worth(goal: dict, windows: dict[int, RequestTally], classes: dict[str, RequestTally]) -> float:
+def compute_worth(
+    goal: dict, windows: dict[int, RequestTally], classes: dict[str, RequestTally]
+) -> float:
     """Return the worth of a day before prices, as the site's goal weighs its parts."""
-    shares = sorted(t.earned_worth / t.possible_worth for t in windows.values() if t.possible_worth)
+    shares = sorted(
+        t.earned_worth / t.possible_worth for t in windows.values() if t.possible_worth
+    )
     whole = sum(t.earned_worth for t in classes.values()) / sum(
         t.possible_worth for t in classes.values()
     )
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -68,7 +68,9 @@
     arrivals: dict[int, tuple[float, str]] = field(factory=dict)
     counts: dict[str, RequestCounts] = field(factory=dict)
     waits: HdrHistogram = field(factory=lambda: HdrHistogram(1, 120_000_000, 3))
-    class_shares: dict[str, float] = field(factory=lambda: {"claim": 0.5, "upload": 0.5})
+    class_shares: dict[str, float] = field(
+        factory=lambda: {"claim": 0.5, "upload": 0.5}
+    )
     state: AgentState | None = None
     duration: float = DURATION_SECONDS
     _order: itertools.count = field(factory=itertools.count)
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -120,7 +120,9 @@
         self.inputs = inputs
         self.configuration = accept_resources(self.configuration, inputs).configuration
         if not self.balancers:
-            self.balancers = [make_state(self.configuration) for _ in range(BALANCER_COUNT)]
+            self.balancers = [
+                make_state(self.configuration) for _ in range(BALANCER_COUNT)
+            ]
         offered = ConfigurationOffered(configuration=self.configuration, now=self.now)
         self.balancers = [reduce(state, offered)[0] for state in self.balancers]
         policy = self.strategy
@@ -295,7 +297,10 @@
 def run_balancer_loss(simulation: PlacementSimulation, upstreams: int) -> None:
     """All balancers but one die; a new one knows no load."""
     run_steady(simulation, upstreams)
-    simulation.balancers = [simulation.balancers[0], make_state(simulation.configuration)]
+    simulation.balancers = [
+        simulation.balancers[0],
+        make_state(simulation.configuration),
+    ]
     simulation.close_flows(CHURN_SHARE)
     simulation.open_flows(int(upstreams * FLOWS_PER_UPSTREAM * CHURN_SHARE))
 
@@ -320,7 +325,9 @@
 def measure_placement() -> list[Result]:
     """Measure every strategy; every scene for the one that is used."""
     results = []
-    for (name, strategy), lag in itertools.product(STRATEGIES.items(), REPORT_LAGS_SECONDS):
+    for (name, strategy), lag in itertools.product(
+        STRATEGIES.items(), REPORT_LAGS_SECONDS
+    ):
         value = _measure_imbalance(strategy, lag, "steady", 7)
         results.append(Result(f"max/mean, steady, {name}, lag {lag:g} s", value, ""))
     for scene, lag in itertools.product(list(SCENARIOS)[1:], (0.1, 1.0)):
@@ -373,7 +380,9 @@
     return [Result("share of new flows to a slow one, 7 upstreams", share, "")]
 
 
-def _measure_imbalance(strategy: Strategy, lag: float, scenario: str, upstreams: int) -> float:
+def _measure_imbalance(
+    strategy: Strategy, lag: float, scenario: str, upstreams: int
+) -> float:
     playing = PlacementSimulation(
         strategy=strategy,
         report_lag=lag,
--- a/benchmarks/plays.py
+++ b/benchmarks/plays.py
@@ -54,7 +54,12 @@
 
 
 def run_bench(
-    bench: str, run: BenchRun, *, journal_reason: str, ignore_cpu: bool, report_folder: pathlib.Path
+    bench: str,
+    run: BenchRun,
+    *,
+    journal_reason: str,
+    ignore_cpu: bool,
+    report_folder: pathlib.Path,
 ) -> Outcome:
     """Play one day and read the bench's report."""
     name = f"{run.label}-{run.site.stem}-{pathlib.Path(run.day).stem}-{run.seed}"
--- a/properties/soak_faults.py
+++ b/properties/soak_faults.py
@@ -92,7 +92,9 @@
             await node.process.wait()
         await self.ensure_running(host)
 
-    async def reload_settings(self, host: str, span: float, draw: random.Random) -> None:
+    async def reload_settings(
+        self, host: str, span: float, draw: random.Random
+    ) -> None:
         self.deployment.change_settings(host, seeds=[f"{self.balancers[0]}:1"])
         self.deployment.nodes[host].signal(signal.SIGHUP)
 
@@ -148,7 +150,9 @@
         links = [link for o in others for link in ((host, o), (o, host))]
         await self._break_links(links, CUT_LINK, span)
 
-    async def degrade_node_links(self, host: str, span: float, draw: random.Random) -> None:
+    async def degrade_node_links(
+        self, host: str, span: float, draw: random.Random
+    ) -> None:
         """Delay, lose, double and reorder what goes to and from a node."""
         others = [*self.agents, *self.balancers]
         links = [link for o in others for link in ((host, o), (o, host))]
--- a/properties/test_bytes.py
+++ b/properties/test_bytes.py
@@ -25,7 +25,9 @@
 from shedsill.tests.test_routing import CONFIGURATION
 
 KEYS = KeyRing((bytes(range(32)),))
-deterministic = settings(derandomize=True, database=None, deadline=None, max_examples=300)
+deterministic = settings(
+    derandomize=True, database=None, deadline=None, max_examples=300
+)
 packets = st.one_of(
     st.binary(max_size=1500),
     st.builds(
--- a/properties/test_datagram_messages.py
+++ b/properties/test_datagram_messages.py
@@ -149,7 +149,9 @@
         world.add_agent(host, "dispatcher", first=True)
     state = world.add_balancer("10.0.0.1")
     world.run(0.1)
-    callers = [world.call("dispatcher", "10.0.0.1", requests=MIN_STEPS) for _ in CALLERS]
+    callers = [
+        world.call("dispatcher", "10.0.0.1", requests=MIN_STEPS) for _ in CALLERS
+    ]
     world.run(0.05)
     assert {caller.flow for caller in callers} == state.flows.keys() == set(FLOWS)
     now = world.now
