--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks: ``python -m benchmarks`` prints a table and writes JSON."""
+"""Benchmarks: ``python -m benchmarks`` prints a table and optionally writes JSON."""
--- a/benchmarks/__main__.py
+++ b/benchmarks/__main__.py
@@ -1,4 +1,4 @@
-"""Run the benchmarks."""
+"""Command line of the benchmarks."""
 
 from __future__ import annotations
 
@@ -32,13 +32,28 @@
 
 
 @click.command()
-@click.option("--only", multiple=True, type=click.Choice(list(GROUPS)))
-@click.option("--output", type=click.Path(path_type=pathlib.Path), default=None)
-@click.option("--plot", type=click.Path(path_type=pathlib.Path), default=None)
+@click.option(
+    "--only",
+    multiple=True,
+    type=click.Choice(list(GROUPS)),
+    help="Group to run; may be repeated.  [default: all]",
+)
+@click.option(
+    "--output",
+    type=click.Path(path_type=pathlib.Path),
+    default=None,
+    help="File for the results, as JSON.",
+)
+@click.option(
+    "--plot",
+    type=click.Path(path_type=pathlib.Path),
+    default=None,
+    help="File for a plot of the placement results.",
+)
 def main(
     only: tuple[str, ...], output: pathlib.Path | None, plot: pathlib.Path | None
 ) -> None:
-    """Run every benchmark, print a table and write JSON."""
+    """Run the benchmarks and print a table of the results."""
     results: list[Result] = []
     for name in only or tuple(GROUPS):
         results += GROUPS[name]()
--- a/benchmarks/agents.py
+++ b/benchmarks/agents.py
@@ -1,4 +1,4 @@
-"""What connections cost an agent, and what the path adds to a request."""
+"""Cost of connections at an agent, and latency of requests on the whole path."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class _ResourceMeter:
-    """Adds up processor time and memory of the agent's side alone."""
+    """Sums CPU time and allocated memory of the agent's part of a handshake."""
 
     def __init__(self) -> None:
         self.seconds = 0.0
@@ -49,7 +49,7 @@
 
 
 def _make_table(outbox: list[tuple[Address, bytes]]) -> FlowTable:
-    def mint() -> bytes:
+    def generate_connection_id() -> bytes:
         return KEYS.make_connection_id(Route(1, 1, 1), epoch=1, nonce=os.urandom(6))
 
     callbacks = FlowCallbacks(
@@ -62,7 +62,9 @@
         on_failed=lambda _flow, _error: None,
     )
     table = FlowTable(
-        ConnectionIdGenerator(generate=mint, make_reset_token=KEYS.make_reset_token),
+        ConnectionIdGenerator(
+            generate=generate_connection_id, make_reset_token=KEYS.make_reset_token
+        ),
         callbacks,
     )
     pair = make_certificate()
@@ -106,25 +108,25 @@
 
 
 async def measure_connections() -> list[Result]:
-    """Time handshakes, and weigh open connections, at the agent."""
-    timed = await _complete_handshakes(HANDSHAKE_COUNT)
+    """Measure CPU time per handshake and memory per connection at the agent."""
+    timing_run = await _complete_handshakes(HANDSHAKE_COUNT)
     tracemalloc.start()
-    weighed = await _complete_handshakes(HANDSHAKE_COUNT)
+    memory_run = await _complete_handshakes(HANDSHAKE_COUNT)
     tracemalloc.stop()
-    cost = timed.seconds / HANDSHAKE_COUNT
+    cost = timing_run.seconds / HANDSHAKE_COUNT
     return [
         Result("agent, handshake", cost * 1e3, "ms"),
         Result("agent, handshakes/s", 1 / cost, "1/s"),
         Result(
             "agent, memory per connection",
-            weighed.allocated_bytes / HANDSHAKE_COUNT / 1e3,
+            memory_run.allocated_bytes / HANDSHAKE_COUNT / 1e3,
             "kB",
         ),
     ]
 
 
 class _DirectRelay(asyncio.DatagramProtocol):
-    """Stands where fabric and balancer stand, for one caller."""
+    """Relays one caller's datagrams to an agent, in place of a balancer."""
 
     def __init__(self, agent: Address, upstream: int, service: int) -> None:
         self._agent = agent
@@ -164,7 +166,7 @@
 
 
 async def _time_paths(cluster: Cluster) -> list[Result]:
-    whole = await _time_requests(cluster.fronts["intake"])
+    balanced = await _time_requests(cluster.fronts["intake"])
     loop = asyncio.get_running_loop()
     agent = cluster.agents["intake-1"]
     transport, _direct = await loop.create_datagram_endpoint(
@@ -174,7 +176,7 @@
     direct = await _time_requests(address)
     transport.close()
     results = []
-    for name, histogram in (("whole path", whole), ("direct to agent", direct)):
+    for name, histogram in (("whole path", balanced), ("direct to agent", direct)):
         for percentile in (50, 99):
             value = histogram.get_value_at_percentile(percentile) / 1e3
             results.append(Result(f"request, {name}, p{percentile}", value, "ms"))
@@ -182,7 +184,7 @@
 
 
 def measure_latency() -> list[Result]:
-    """Time requests through the whole path and straight to an agent."""
+    """Measure latency through a balancer and directly to an agent."""
     layout = make_layout("intake", count=1, slots=4)
     with tempfile.TemporaryDirectory() as directory:
         cluster = Cluster((layout,), directory)
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,4 +1,4 @@
-"""Slopes from which ``docs/CAPACITY.md`` works out the size to come."""
+"""Linear cost models from which ``docs/CAPACITY.md`` extrapolates."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 def make_inputs(upstreams: int) -> AcceptanceInputs:
-    """Return services of four upstreams each."""
+    """Return resources of services with `UPSTREAMS_PER_SERVICE` upstreams each."""
     services = []
     sets = []
     for index in range(upstreams // UPSTREAMS_PER_SERVICE):
@@ -57,7 +57,7 @@
 
 
 def make_report(index: int) -> NodeReport:
-    """Return a report of some node."""
+    """Return the report of an agent."""
     return NodeReport(
         name=f"node-{index}",
         address=Address("10.2.0.1", index + 1),
@@ -69,7 +69,7 @@
 
 
 def _time_call(function: Callable[[], object]) -> float:
-    """Return the least processor time of some repeats, in seconds."""
+    """Return the minimum CPU time over `REPEATS` calls, in seconds."""
     best = float("inf")
     for _ in range(REPEATS):
         start = time.process_time()
@@ -79,7 +79,7 @@
 
 
 def _fit_line(name: str, sizes, values, unit: str) -> list[Result]:
-    """Fit a line; the residual is the largest miss as a share of the value."""
+    """Fit a line; the residual is the largest relative error."""
     slope, offset = np.polyfit(sizes, values, 1)
     fitted = slope * np.asarray(sizes) + offset
     residual = float(np.max(np.abs(fitted - values) / np.abs(values)))
@@ -91,7 +91,7 @@
 
 
 def measure_capacity() -> list[Result]:
-    """Measure every slope."""
+    """Measure configuration, tick, heartbeat and gossip costs."""
     results = _measure_configuration()
     results += _measure_tick()
     results += _measure_heartbeat()
@@ -99,23 +99,25 @@
 
 
 def _measure_configuration() -> list[Result]:
-    octets, accepting, decoding, memory = [], [], [], []
+    encoded_bytes, accepting, decoding, memory = [], [], [], []
     for size in UPSTREAM_COUNTS:
         inputs = make_inputs(size)
         configuration = accept_resources(Configuration(), inputs).configuration
         value = encode_configuration(configuration)
-        octets.append(len(json.dumps(value)))
+        encoded_bytes.append(len(json.dumps(value)))
         accepting.append(
             _time_call(lambda i=inputs, c=configuration: accept_resources(c, i)) * 1e6
         )
         decoding.append(_time_call(lambda v=value: decode_configuration(v)) * 1e6)
         tracemalloc.start()
-        kept = decode_configuration(value)
+        decoded = decode_configuration(value)
         memory.append(tracemalloc.get_traced_memory()[0])
         tracemalloc.stop()
-        del kept
+        del decoded
     return [
-        *_fit_line("configuration, octets per upstream", UPSTREAM_COUNTS, octets, "B"),
+        *_fit_line(
+            "configuration, octets per upstream", UPSTREAM_COUNTS, encoded_bytes, "B"
+        ),
         *_fit_line("accepting, per upstream", UPSTREAM_COUNTS, accepting, "us"),
         *_fit_line("decoding, per upstream", UPSTREAM_COUNTS, decoding, "us"),
         *_fit_line(
@@ -125,7 +127,7 @@
 
 
 def _measure_tick() -> list[Result]:
-    """Time one beat of a balancer against upstreams, then against members."""
+    """Measure CPU time of a balancer's tick by number of upstreams and of nodes."""
     by_upstream = []
     for size in UPSTREAM_COUNTS:
         configuration = accept_resources(
@@ -164,36 +166,36 @@
     node = evolve(state.node, membership=membership)
     payload = HeartbeatPayload(service=1, upstream=1, load=Load())
     frame = make_heartbeat(node, payload, now=1.0, seed=1)
-    octets = len(encode_frame(KEYS, frame))
+    encoded_bytes = len(encode_frame(KEYS, frame))
     seconds = _time_call(lambda: [encode_frame(KEYS, frame) for _ in range(100)]) / 100
-    short = len(encode_frame(KEYS, make_probe_answer(node, payload)))
-    per_second = 2 * FAN_OUT * (octets + short)
+    answer_bytes = len(encode_frame(KEYS, make_probe_answer(node, payload)))
+    per_second = 2 * FAN_OUT * (encoded_bytes + answer_bytes)
     return [
-        Result("heartbeat, octets", float(octets), "B"),
-        Result("probe or answer, octets", float(short), "B"),
+        Result("heartbeat, octets", float(encoded_bytes), "B"),
+        Result("probe or answer, octets", float(answer_bytes), "B"),
         Result("heartbeat, encoding", seconds * 1e6, "us"),
         Result("heartbeats sent, answered and received", per_second / 1e3, "kB/s"),
     ]
 
 
 def _count_gossip_rounds(size: int) -> Result:
-    """Count beats until a generation has reached all of `size` nodes.
+    """Count rounds until a generation has reached all of `size` nodes.
 
-    Each node sends to a few random peers once a beat, and each peer answers;
-    whoever is behind pulls.  All beats of a round count as at once.
+    In each round every node sends to `FAN_OUT` random peers, which answer; the one
+    with the older generation pulls the newer.  Worst of three seeds.
     """
     worst = 0
     for seed in range(3):
         generator = random.Random(seed)
         informed = bytearray(size)
         informed[0] = 1
-        beats = 0
+        rounds = 0
         while not all(informed):
-            beats += 1
+            rounds += 1
             before = bytes(informed)
             for node in range(size):
                 for peer in generator.choices(range(size), k=FAN_OUT):
                     if before[node] or before[peer]:
                         informed[node] = informed[peer] = 1
-        worst = max(worst, beats)
+        worst = max(worst, rounds)
     return Result(f"beats until {size} nodes have a generation", float(worst), "")
--- a/benchmarks/changes.py
+++ b/benchmarks/changes.py
@@ -1,4 +1,4 @@
-"""Broken flows and gaps while nodes change, with real processes."""
+"""Broken flows and interruptions during changes of nodes, with real processes."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 
 @define
 class StreamWatcher:
-    """Watches streams for breaks and for the longest silence."""
+    """Counts broken streams and records the longest time without data."""
 
     streams: list[Response]
     longest_silence: float = 0.0
     _last_growth: dict[int, tuple[int, float]] = field(factory=dict)
 
     async def run(self) -> None:
-        """Watch until cancelled."""
+        """Check the streams repeatedly until cancelled."""
         while True:
             now = time.monotonic()
             for index, stream in enumerate(self.streams):
@@ -43,7 +43,7 @@
             await asyncio.sleep(WATCH_INTERVAL_SECONDS)
 
     def count_broken(self) -> int:
-        """Return how many streams have ended."""
+        """Return the number of streams that were cut."""
         return sum(stream.cut for stream in self.streams)
 
 
@@ -71,7 +71,7 @@
 
 
 async def _kill_balancers(cluster: Cluster) -> None:
-    """Kill two of three; the fabric notices late."""
+    """Kill two of three balancers; the fabric withdraws them a second later."""
     names = list(cluster.balancers)[:2]
     for name in names:
         cluster.processes[name].send(signal.SIGKILL)
@@ -102,10 +102,10 @@
             )
             streams.append(client.open("GET", STREAM_PATH)[1])
         await asyncio.sleep(SETTLE_SECONDS)
-        for name, scene in SCENARIOS.items():
+        for name, run_scenario in SCENARIOS.items():
             watcher = StreamWatcher(streams)
             task = asyncio.create_task(watcher.run())
-            await scene(cluster)
+            await run_scenario(cluster)
             await asyncio.sleep(SETTLE_SECONDS)
             task.cancel()
             broken = float(watcher.count_broken())
@@ -117,7 +117,7 @@
 
 
 def measure_changes() -> list[Result]:
-    """Run the scenes one after another over the same flows."""
+    """Run the scenarios one after another on the same flows."""
     with tempfile.TemporaryDirectory() as directory:
         cluster = Cluster(PECAN_BOTTOM, directory)
         cluster.extra["balancer"] = ("--quiet", "0.5")
--- a/benchmarks/cluster.py
+++ b/benchmarks/cluster.py
@@ -1,4 +1,4 @@
-"""Control traffic and the spread of a change, with real processes."""
+"""Control traffic and propagation time of a change, with real processes."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def measure_cluster() -> list[Result]:
-    """Measure Pecan Bottom's services: 3 balancers and 11 agents."""
+    """Measure a cluster of 3 balancers and 11 agents."""
     with tempfile.TemporaryDirectory() as directory:
         cluster = Cluster(PECAN_BOTTOM, directory)
         with run_cluster(cluster):
@@ -35,13 +35,19 @@
         after = [await _read_sent_bytes(session, a) for a in nodes.values()]
         elapsed = time.monotonic() - start
         rates = [(b - a) / elapsed / 1e3 for a, b in zip(before, after, strict=True)]
-        spreads = [await _time_change(session, cluster) for _ in range(CHANGE_COUNT)]
+        propagation_times = [
+            await _time_change(session, cluster) for _ in range(CHANGE_COUNT)
+        ]
     mean = sum(rates) / len(rates)
     return [
         Result("control sent per node, 14 nodes, mean", mean, "kB/s"),
         Result("control sent per node, 14 nodes, most", max(rates), "kB/s"),
-        Result("change in force on 14 nodes, mean", sum(spreads) / CHANGE_COUNT, "s"),
-        Result("change in force on 14 nodes, longest", max(spreads), "s"),
+        Result(
+            "change in force on 14 nodes, mean",
+            sum(propagation_times) / CHANGE_COUNT,
+            "s",
+        ),
+        Result("change in force on 14 nodes, longest", max(propagation_times), "s"),
     ]
 
 
@@ -52,13 +58,13 @@
 
 
 async def _time_change(session: aiohttp.ClientSession, cluster: Cluster) -> float:
-    """Return the seconds from the end of a write until all nodes have it."""
+    """Return the seconds from a write until all nodes have its generation."""
     nodes = [*cluster.balancers.values(), *cluster.agents.values()]
-    wanted = 1 + max([await _read_generation(session, a) for a in nodes])
+    expected = 1 + max([await _read_generation(session, a) for a in nodes])
     await asyncio.to_thread(cluster.run_command, "rotate-keys", "--no-wait")
     start = time.monotonic()
     for address in nodes:
-        while await _read_generation(session, address) < wanted:
+        while await _read_generation(session, address) < expected:
             await asyncio.sleep(POLL_INTERVAL_SECONDS)
     return time.monotonic() - start
 
--- a/benchmarks/datapath.py
+++ b/benchmarks/datapath.py
@@ -1,4 +1,4 @@
-"""What one datagram costs a balancer, beside a bare UDP relay in the same run."""
+"""Cost of a datagram at a balancer, compared with a plain UDP relay."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 def make_configuration(service_port: int, agent: Address, count: int) -> Configuration:
-    """Return a configuration with one service and some upstreams."""
+    """Return a configuration with one service and `count` upstreams."""
     service = Service(name="intake", address=f"127.0.0.1:{service_port}")
     members = tuple(
         Upstream(name=f"u{i}", address=str(Address(agent.host, agent.port + i)))
@@ -57,14 +57,14 @@
 
 
 def make_short_packet(upstream: int, incarnation: int = 1) -> bytes:
-    """Return a datagram that a minted connection ID leads to an upstream."""
+    """Return a datagram whose connection ID routes it to an upstream."""
     route = Route(upstream, 1, incarnation)
     cid = KEYS.make_connection_id(route, epoch=1, nonce=os.urandom(6))
     return bytes([0x40]) + cid + bytes(DATAGRAM_BYTES - 1 - len(cid))
 
 
 def make_initial() -> bytes:
-    """Return a datagram that looks like a caller's first packet."""
+    """Return a datagram with the header of a QUIC Initial packet."""
     cid = os.urandom(8)
     head = bytes([0xC0]) + (1).to_bytes(4, "big") + bytes([8]) + cid + bytes([0, 0])
     rest = DATAGRAM_BYTES - len(head) - 2
@@ -72,7 +72,7 @@
 
 
 def make_state(configuration: Configuration) -> BalancerState:
-    """Return a balancer's state with a configuration in force."""
+    """Return the state of a balancer that has received a configuration."""
     node = Node(name="b", address=Address("127.0.0.1", 1), balancer=True, incarnation=1)
     lease = Lease(kind="lease", name="a", node="b", time_to_live=3.0)
     state = BalancerState(
@@ -98,31 +98,31 @@
 
 
 def measure_reducer() -> list[Result]:
-    """Time the reducer alone."""
+    """Measure CPU time per datagram in the reducer."""
     configuration = make_configuration(4433, Address("127.0.0.1", 20_000), 7)
     state = make_state(configuration)
     packet = make_short_packet(1)
     established = _time_events(state, [packet] * REDUCER_EVENT_COUNT)
-    fresh = _time_events(
+    new_flow = _time_events(
         state, [make_initial() for _ in range(REDUCER_EVENT_COUNT // 4)]
     )
     return [
         Result("reducer, established datagram", established * 1e6, "us"),
-        Result("reducer, new flow", fresh * 1e6, "us"),
+        Result("reducer, new flow", new_flow * 1e6, "us"),
     ]
 
 
 def measure_flow_state() -> list[Result]:
-    """Show that a balancer's memory does not grow with open flows."""
+    """Measure how much a balancer's memory grows with routed flows."""
     configuration = make_configuration(4433, Address("127.0.0.1", 20_000), 7)
     state = make_state(configuration)
     state = _route_flows(state, 1_000)
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     state = _route_flows(state, FLOW_COUNT)
-    grown = tracemalloc.get_traced_memory()[0] - before
+    growth = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
-    return [Result(f"balancer memory after {FLOW_COUNT} flows", float(grown), "B")]
+    return [Result(f"balancer memory after {FLOW_COUNT} flows", float(growth), "B")]
 
 
 def _route_flows(state: BalancerState, count: int) -> BalancerState:
@@ -135,7 +135,7 @@
 
 
 class _UnavailablePlatform:
-    """A platform that never answers, so that nothing but the datapath runs."""
+    """Platform whose calls fail, so that only the datapath runs."""
 
     async def call(self, call: Call) -> Outcome:
         del call
@@ -143,7 +143,7 @@
 
 
 class _Relay(asyncio.DatagramProtocol):
-    """Sends on whatever comes: the least that a relay in this language does."""
+    """Forwards every datagram: the baseline for the balancer."""
 
     def __init__(self, sink: tuple[str, int]) -> None:
         self._sink = sink
@@ -158,9 +158,9 @@
 
 
 async def _time_bursts(target: tuple[str, int], datagrams: list[bytes], count) -> float:
-    """Send bursts and return the processor time per datagram of the loop alone."""
+    """Send bursts; return the event loop's CPU time per datagram."""
     sender = socket.socket(type=socket.SOCK_DGRAM)
-    spent = 0.0
+    cpu_seconds = 0.0
     done = 0
     for _ in range(BURST_COUNT):
         for index in range(DATAGRAMS_PER_BURST):
@@ -169,13 +169,13 @@
         start = time.process_time()
         while count() < done:
             await asyncio.sleep(0)
-        spent += time.process_time() - start
+        cpu_seconds += time.process_time() - start
     sender.close()
-    return spent / done
+    return cpu_seconds / done
 
 
 async def measure_sockets() -> list[Result]:
-    """Time the datapath through real sockets."""
+    """Measure CPU time per datagram through real sockets."""
     loop = asyncio.get_running_loop()
     sink = socket.socket(type=socket.SOCK_DGRAM)
     sink.bind(("127.0.0.1", 0))
@@ -184,7 +184,7 @@
     )
     address = transport.get_extra_info("sockname")
     packet = make_short_packet(1)
-    bare = await _time_bursts(address, [packet], lambda: relay.count)
+    baseline = await _time_bursts(address, [packet], lambda: relay.count)
     transport.close()
     sink_address = Address(*sink.getsockname())
     balancer, service = await _start_balancer(sink_address)
@@ -193,20 +193,20 @@
         service, [packet], lambda: event_log.count(LogEvent.FLOW_ROUTED)
     )
     initials = [make_initial() for _ in range(2_000)]
-    fresh = await _time_bursts(
+    new_flow = await _time_bursts(
         service, initials, lambda: event_log.count(LogEvent.FLOW_PLACED)
     )
     replies = await _measure_replies(balancer, sink)
     await balancer.stop()
     sink.close()
     return [
-        Result("bare relay", bare * 1e6, "us"),
+        Result("bare relay", baseline * 1e6, "us"),
         Result("balancer, established datagram", established * 1e6, "us"),
-        Result("balancer, new flow", fresh * 1e6, "us"),
+        Result("balancer, new flow", new_flow * 1e6, "us"),
         Result("balancer, reply to caller", replies * 1e6, "us"),
         Result("balancer, established, datagrams/s", 1 / established, "1/s"),
-        Result("balancer, new flows/s", 1 / fresh, "1/s"),
-        Result("established rate / bare relay rate", bare / established, "ratio"),
+        Result("balancer, new flows/s", 1 / new_flow, "1/s"),
+        Result("established rate / bare relay rate", baseline / established, "ratio"),
     ]
 
 
