--- a/benchmarks/ledger.py
+++ b/benchmarks/ledger.py
@@ -1,11 +1,11 @@
-"""Where a day's worth is lost, and how much of it could have been had.
-
-``python -m benchmarks.ledger SITE DAY --report REPORT --log LOG`` reads what the
-users' bench wrote of one play (``run SITE DAY --report REPORT --log all > LOG``):
-the parts and prices of the day, the seconds in which requests were late or lost,
-and what the nodes did in them.  Beside it stands the bound: the same load after the
-same loss of power, served by one queue over all upstreams that are there the moment
-power is back, knows every caller's deadline and costs nothing.
+"""Analysis of one run of the external test bench, with an upper bound of its score.
+
+``python -m benchmarks.ledger SITE DAY --report REPORT --log LOG`` reads the output of
+``run SITE DAY --report REPORT --log all > LOG``.  It prints the parts and prices of
+the score, and the windows in which requests were late or lost, with what the nodes
+logged in them.  The upper bound is simulated: the same load and power outage, served
+from one queue per service by all upstreams, which are back as soon as the power is and
+know every request's deadline, at no price.
 """
 
 from __future__ import annotations
@@ -33,18 +33,18 @@
 from shedsill.datagram._packet import SYN_COPY_DELAYS_SECONDS
 
 WINDOW_SECONDS = 2.0
-"""Seconds of the bench's windows."""
+"""Length of the windows in the bench's reports."""
 
 SYN_TIMEOUT_SECONDS = 1.4
 RETRY_DELAY_SECONDS = 0.1
-"""Seconds after which callers give up an opening, and then try again."""
+"""Callers retry once, this long after their SYN has timed out."""
 
 BOUND_SEED_COUNT = 5
 
 
 @frozen
 class RequestClass:
-    """One kind of request, with its share of the traffic and its times in seconds."""
+    """A request class, with its share of the traffic and its times in seconds."""
 
     name: str
     service: str
@@ -59,16 +59,16 @@
 
 @frozen
 class Deployment:
-    """What the bound needs of a site and a day.
+    """The parameters of a site and a day that the bound depends on.
 
     Attributes
     ----------
     request_rate : float
-        Requests a second.
+        Requests per second.
     slots_by_service : dict of str to int
         Slots of all upstreams of each service.
     outage : tuple of float or None
-        When power goes and comes back; None on days without such an end.
+        Start and end of the power outage; None on days without one.
     """
 
     classes: tuple[RequestClass, ...]
@@ -82,7 +82,7 @@
 
 @define
 class RequestTally:
-    """What became of the requests of one window or class."""
+    """Outcomes of the requests of one window or class."""
 
     sent: int = 0
     in_time: int = 0
@@ -91,7 +91,7 @@
     earned_worth: float = 0.0
 
     def count_request(self, request_class: RequestClass, latency: float | None) -> None:
-        """Count a request by the time after which its answer came, if any."""
+        """Count a request with the latency of its answer; None if it was lost."""
         self.sent += 1
         self.possible_worth += request_class.worth
         if latency is None or latency > request_class.timeout:
@@ -105,7 +105,7 @@
 
 
 def read_deployment(site: dict, day_name: str) -> Deployment:
-    """Read a site file; `thin` plays its traffic and slots at a share."""
+    """Read a site; its `thin` scales traffic and slots."""
     day = next(day for day in site["day"] if day["name"] == day_name)
     thin = site.get("thin", 1.0)
     traffic = day.get("traffic", site["traffic"])
@@ -136,22 +136,22 @@
         for entry in site["classes"]
     )
     closing = day.get("closing", {})
-    dark = None
+    outage = None
     if closing.get("kind") == "power_off_all":
-        dark = site["length_s"], site["length_s"] + closing["down_s"]
+        outage = site["length_s"], site["length_s"] + closing["down_s"]
     return Deployment(
         classes=classes,
         request_rate=rate,
         slots_by_service=slots,
         cold_time=first["cold_s"],
         cold_factor=first["cold_x"],
-        outage=dark,
+        outage=outage,
         duration=site["length_s"] + 6.0,
     )
 
 
 def find_syn_arrival(sent_at: float, outage: tuple[float, float]) -> float | None:
-    """Return when the first copy of an opening arrives, or None if none does."""
+    """Return when the first copy of a SYN arrives, or None if none does."""
     for start in (sent_at, sent_at + SYN_TIMEOUT_SECONDS + RETRY_DELAY_SECONDS):
         for delay in SYN_COPY_DELAYS_SECONDS:
             if not outage[0] <= start + delay < outage[1]:
@@ -162,28 +162,32 @@
 def simulate_bound(
     deployment: Deployment, generator: random.Random
 ) -> tuple[dict[int, RequestTally], dict[str, RequestTally]]:
-    """Serve one drawn day as well as can be; return tallies by window and by class."""
+    """Simulate the bound for one day; return tallies by window and by class."""
     windows: dict[int, RequestTally] = collections.defaultdict(RequestTally)
     classes: dict[str, RequestTally] = collections.defaultdict(RequestTally)
     by_service: dict[str, list[tuple[float, float, RequestClass]]] = {}
-    sent = 0.0
-    while sent < deployment.duration:
-        sent += generator.expovariate(deployment.request_rate)
-        kinds = deployment.classes
-        kind = generator.choices(kinds, [kind.share for kind in kinds])[0]
+    sent_at = 0.0
+    while sent_at < deployment.duration:
+        sent_at += generator.expovariate(deployment.request_rate)
+        request_classes = deployment.classes
+        request_class = generator.choices(
+            request_classes, [request_class.share for request_class in request_classes]
+        )[0]
         arrival = (
-            find_syn_arrival(sent, deployment.outage) if deployment.outage else sent
+            find_syn_arrival(sent_at, deployment.outage)
+            if deployment.outage
+            else sent_at
         )
         if arrival is None:
-            _count_request(windows, classes, sent, kind, None)
+            _count_request(windows, classes, sent_at, request_class, None)
         else:
-            entry = (arrival, sent, kind)
-            by_service.setdefault(kind.service, []).append(entry)
+            entry = (arrival, sent_at, request_class)
+            by_service.setdefault(request_class.service, []).append(entry)
     for service, arrivals in by_service.items():
-        for sent, kind, took in _simulate_service(
+        for sent_at, request_class, latency in _simulate_service(
             deployment, service, arrivals, generator
         ):
-            _count_request(windows, classes, sent, kind, took)
+            _count_request(windows, classes, sent_at, request_class, latency)
     return windows, classes
 
 
@@ -204,70 +208,70 @@
     arrivals: list[tuple[float, float, RequestClass]],
     generator: random.Random,
 ) -> list[tuple[float, RequestClass, float | None]]:
-    """Serve the requests of one service; work that power cuts off is lost."""
+    """Serve the requests of one service; those running when power fails are lost."""
     slots = deployment.slots_by_service[service]
-    works = [
+    weighted_times = [
         k.service_time * k.share for k in deployment.classes if k.service == service
     ]
     shares = [k.share for k in deployment.classes if k.service == service]
-    mean = sum(works) / sum(shares)
-    dark = deployment.outage or (math.inf, math.inf)
-    cold_until = dark[1] + deployment.cold_time
+    mean_service_time = sum(weighted_times) / sum(shares)
+    outage = deployment.outage or (math.inf, math.inf)
+    cold_until = outage[1] + deployment.cold_time
     backlog = Backlog()
-    waiting: dict[bytes, tuple[float, RequestClass]] = {}
-    free = [0.0] * slots
-    done = []
+    queued: dict[bytes, tuple[float, RequestClass]] = {}
+    free_at = [0.0] * slots
+    outcomes = []
     arrivals.sort(key=lambda entry: entry[0])
     number = 0
-    while number < len(arrivals) or waiting:
-        now = heapq.heappop(free)
-        if not waiting:
+    while number < len(arrivals) or queued:
+        now = heapq.heappop(free_at)
+        if not queued:
             now = max(now, arrivals[number][0])
         while number < len(arrivals) and arrivals[number][0] <= now:
-            _arrival, sent, kind = arrivals[number]
+            _arrival, sent_at, request_class = arrivals[number]
             flow = number.to_bytes(4, "big")
-            waiting[flow] = sent, kind
+            queued[flow] = sent_at, request_class
             request = QueuedRequest(
                 packets=[],
                 queued_at=now,
-                requested_at=sent,
-                urgency=kind.urgency,
-                objective_at=sent + kind.objective,
-                deadline_at=sent + kind.timeout,
+                requested_at=sent_at,
+                urgency=request_class.urgency,
+                objective_at=sent_at + request_class.objective,
+                deadline_at=sent_at + request_class.timeout,
             )
             add_request(backlog, flow, request)
             number += 1
-        cold = dark[1] <= now < cold_until
+        cold = outage[1] <= now < cold_until
         forecast = Forecast(
             now=now,
             slots=slots,
             cold_until=cold_until if cold else 0.0,
-            cold_service_time=mean * deployment.cold_factor,
-            service_time=mean,
+            cold_service_time=mean_service_time * deployment.cold_factor,
+            service_time=mean_service_time,
         )
         flow = choose_next_request(backlog, forecast)
         del backlog.requests[flow]
-        sent, kind = waiting.pop(flow)
-        work = generator.expovariate(1 / kind.service_time)
-        work *= deployment.cold_factor if cold else 1.0
-        end = now + work
-        if now < dark[0] < end:
-            done.append((sent, kind, None))
-            end = dark[1]
+        sent_at, request_class = queued.pop(flow)
+        service_time = generator.expovariate(1 / request_class.service_time)
+        service_time *= deployment.cold_factor if cold else 1.0
+        end = now + service_time
+        if now < outage[0] < end:
+            outcomes.append((sent_at, request_class, None))
+            end = outage[1]
         else:
-            done.append((sent, kind, end - sent))
-        heapq.heappush(free, end)
-    return done
+            outcomes.append((sent_at, request_class, end - sent_at))
+        heapq.heappush(free_at, end)
+    return outcomes
 
 
 def compute_worth(
     goal: dict, windows: dict[int, RequestTally], classes: dict[str, RequestTally]
 ) -> float:
-    """Return the worth of a day before prices, as the site's goal weighs its parts."""
+    """Return the score of a day before prices, weighted by the site's goal."""
     shares = sorted(
         t.earned_worth / t.possible_worth for t in windows.values() if t.possible_worth
     )
-    whole = sum(t.earned_worth for t in classes.values()) / sum(
+    earned_share = sum(t.earned_worth for t in classes.values()) / sum(
         t.possible_worth for t in classes.values()
     )
     sent = sum(t.sent for t in classes.values())
@@ -276,16 +280,16 @@
     best = goal.get("nines_best", 0.001)
     nines = min(math.log10(max(lost / sent, best)) / math.log10(best), 1.0)
     return (
-        goal.get("mean", 0.0) * whole
+        goal.get("mean", 0.0) * earned_share
         + goal.get("window", 0.0) * statistics.fmean(shares[:2])
         + goal.get("class", 0.0) * worst_class
-        + goal.get("zone", 0.0) * whole
+        + goal.get("zone", 0.0) * earned_share
         + goal.get("nines", 0.0) * nines
     )
 
 
 def print_report(report: dict) -> None:
-    """Print the parts, the prices and the windows in which worth was lost."""
+    """Print the parts and the prices of the score."""
     totals = report["all"]
     click.echo(
         f"worth {report['G']:.3f}: {totals['n']} sent, {totals['in_aim']} in time, "
@@ -299,7 +303,7 @@
 
 
 def count_log_events(path: pathlib.Path) -> dict[int, collections.Counter]:
-    """Count, by window, what the nodes logged; times are those of the day."""
+    """Count log events of the nodes by window of the day."""
     counts: dict[int, collections.Counter] = collections.defaultdict(
         collections.Counter
     )
@@ -312,7 +316,7 @@
 
 
 def print_windows(report: dict, log: dict[int, collections.Counter]) -> None:
-    """Print the windows in which more than one in fifty was not in time."""
+    """Print the windows in which at least 2 % of the requests were not in time."""
     events = ("node_started", "flow_offered", "request_held", "request_passed_on")
     click.echo(f"  {'window':>8} {'sent':>5} in time  late  lost  {'  '.join(events)}")
     for window in report["windows"]:
@@ -333,15 +337,26 @@
 @click.command()
 @click.argument("site", type=click.Path(exists=True, path_type=pathlib.Path))
 @click.argument("day")
-@click.option("--report", type=click.Path(exists=True, path_type=pathlib.Path))
-@click.option("--log", type=click.Path(exists=True, path_type=pathlib.Path))
+@click.option(
+    "--report",
+    type=click.Path(exists=True, path_type=pathlib.Path),
+    help="JSON report of the run.",
+)
+@click.option(
+    "--log",
+    type=click.Path(exists=True, path_type=pathlib.Path),
+    help="Output of the run with the nodes' log lines.",
+)
 def main(
     site: pathlib.Path,
     day: str,
     report: pathlib.Path | None,
     log: pathlib.Path | None,
 ) -> None:
-    """Print the ledger of one play of a DAY of a SITE, and the day's bound."""
+    """Analyse one run of DAY on SITE and print the upper bound of its score.
+
+    SITE is a site file of the test bench, DAY the name of one of its days.
+    """
     if report is not None:
         figures = json.loads(report.read_text())
         print_report(figures)
--- a/benchmarks/logs.py
+++ b/benchmarks/logs.py
@@ -1,6 +1,6 @@
-"""What the nodes logged on a day that the users' bench has played.
+"""Log lines of the nodes in the output of the external test bench.
 
-The bench puts the time of the day, in seconds, and the node's name before each line.
+The bench prefixes each line with the time in seconds and the name of the node.
 """
 
 from __future__ import annotations
@@ -18,19 +18,19 @@
 LINE = re.compile(r"\s*(-?[\d.]+) (\S+) (\{.*)")
 
 GROUPS = ("calls", "messages", "octets")
-"""Counters in the lines `node_figures`."""
+"""Fields of the event `node_figures` that hold counters by kind."""
 
 
 @frozen
 class LogLine:
-    """One line of one node.
+    """One log line of a node.
 
     Attributes
     ----------
     at : float
-        Seconds of the day.
+        Seconds since the start of the day.
     name : str
-        Of the event.
+        Name of the log event.
     """
 
     at: float
@@ -40,7 +40,7 @@
 
 
 def read_lines(path: pathlib.Path) -> Iterator[LogLine]:
-    """Yield the nodes' log lines; all else that a file holds is passed over."""
+    """Yield the log lines of nodes; other lines of the file are skipped."""
     for text in path.open(errors="replace"):
         match = LINE.match(text)
         if match is None:
@@ -55,10 +55,10 @@
 
 
 def sum_figures(path: pathlib.Path) -> dict[tuple[str, str], collections.Counter]:
-    """Sum what all nodes asked of the store and told each other, by role.
+    """Sum the store calls and messages of all nodes, by role.
 
-    Nodes log their counts every few seconds; the last ones before a node's end or
-    restart count, so that what it did after them is missing.
+    Nodes log their counters periodically.  The last line before a node exits is
+    summed, so what it did after that line is missing.
 
     Returns
     -------
@@ -72,27 +72,29 @@
         collections.Counter
     )
 
-    def settle(node: str) -> None:
+    def add_latest_counts(node: str) -> None:
         for group, counts in latest.pop(node, {}).items():
             sums[roles.get(node, "?"), group].update(counts)
 
     for line in read_lines(path):
         if line.name == "node_started":
-            settle(line.node)
+            add_latest_counts(line.node)
             roles[line.node] = line.fields["role"]
         elif line.name == "node_figures":
             latest[line.node] = {group: line.fields[group] for group in GROUPS}
     for node in list(latest):
-        settle(node)
+        add_latest_counts(node)
     return sums
 
 
 def print_figures(sums: dict[tuple[str, str], collections.Counter]) -> None:
-    """Print calls of the store by kind, and messages with their octets."""
+    """Print store calls and messages by kind; messages with their size."""
     for (role, group), counts in sorted(sums.items()):
         if group == "octets":
             continue
-        octets = sums[role, "octets"]
+        message_bytes = sums[role, "octets"]
         for name, count in counts.most_common():
-            cell = f"  {octets[name] / 1000:8.0f} kB" if group == "messages" else ""
+            cell = (
+                f"  {message_bytes[name] / 1000:8.0f} kB" if group == "messages" else ""
+            )
             click.echo(f"  {role:9} {group:8} {name:24} {count:7}{cell}")
--- a/benchmarks/opaque.py
+++ b/benchmarks/opaque.py
@@ -1,4 +1,4 @@
-"""Cost of opaque flows in the reducers: time a packet, memory a flow."""
+"""Cost of datagram flows in the reducers: time per packet, memory per flow."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def make_balancer(agents: int = AGENT_COUNT) -> BalancerState:
-    """Return a balancer that knows some agents of one service."""
+    """Return the state of a balancer that knows `agents` agents of one service."""
     report = NodeReport(host="10.0.0.1", role=Role.BALANCER, zone="z", incarnation=1)
     state = BalancerState(report=report, seeds=(), flow_lifetime=60.0, stop_limit=5.0)
     route = Route(name="r", shares=(ServiceShare(service=SERVICE),))
@@ -58,13 +58,13 @@
 
 
 def make_data(number: int, bits: int, content: bytes = b"") -> bytes:
-    """Return one packet of the flow with a number."""
+    """Return a packet of flow `number` with some TCP flags."""
     caller = (0x64400000 + number // 50_000, 1024 + number % 50_000)
     return make_packet(caller, (SERVICE_HOST, 443), bits, seq=1, ack=8, content=content)
 
 
 def open_flows(state: BalancerState, count: int) -> None:
-    """Open flows through a balancer, each at the upstream first offered."""
+    """Open flows at a balancer, each accepted by the first agent it is offered to."""
     for number in range(count):
         packet = CODEC.decode_caller(make_data(number, 4))
         assert packet is not None
@@ -79,15 +79,15 @@
 
 
 def measure_reducers() -> dict[str, float]:
-    """Return microseconds a packet and octets a flow."""
+    """Return microseconds per packet and bytes per flow."""
     tracemalloc.start()
     state = make_balancer()
     before = tracemalloc.get_traced_memory()[0]
     open_flows(state, FLOW_COUNT)
-    octets = (tracemalloc.get_traced_memory()[0] - before) / FLOW_COUNT
+    flow_bytes = (tracemalloc.get_traced_memory()[0] - before) / FLOW_COUNT
     tracemalloc.stop()
     return {
-        "balancer, octets a flow": octets,
+        "balancer, octets a flow": flow_bytes,
         "balancer, us an opening (55 agents)": _time_flow_openings(),
         "balancer, us a packet of a known flow": _time_balancer_packets(state),
         "agent, us a packet of a known flow": _time_agent_packets(),
@@ -96,20 +96,20 @@
 
 def _time_flow_openings() -> float:
     state = make_balancer()
-    begun = time.perf_counter()
+    started_at = time.perf_counter()
     open_flows(state, FLOW_COUNT)
-    return (time.perf_counter() - begun) / FLOW_COUNT * 1e6
+    return (time.perf_counter() - started_at) / FLOW_COUNT * 1e6
 
 
 def _time_balancer_packets(state: BalancerState) -> float:
-    data = [make_data(number, 128, b"x" * 900) for number in range(FLOW_COUNT)]
-    begun = time.perf_counter()
-    for octets in data:
-        packet = CODEC.decode_caller(octets)
+    packets = [make_data(number, 128, b"x" * 900) for number in range(FLOW_COUNT)]
+    started_at = time.perf_counter()
+    for data in packets:
+        packet = CODEC.decode_caller(data)
         assert packet is not None
         for effect in reduce(state, CallerPacket(packet=packet, now=30.0)):
             CODEC.encode_forwarded(effect.packet, effect.service, effect.route)
-    return (time.perf_counter() - begun) / FLOW_COUNT * 1e6
+    return (time.perf_counter() - started_at) / FLOW_COUNT * 1e6
 
 
 def _time_agent_packets() -> float:
@@ -126,17 +126,17 @@
     for flow in range(2000):
         packet = CODEC.decode_caller(make_data(flow, 4))
         assert packet is not None
-        opening = ForwardedPacket(packet=packet, service=number, balancer="b", now=1.0)
-        reduce(state, opening)
-    data = [make_data(flow % 2000, 128) for flow in range(FLOW_COUNT)]
-    begun = time.perf_counter()
-    for octets in data:
-        packet = CODEC.decode_caller(octets)
+        syn = ForwardedPacket(packet=packet, service=number, balancer="b", now=1.0)
+        reduce(state, syn)
+    packets = [make_data(flow % 2000, 128) for flow in range(FLOW_COUNT)]
+    started_at = time.perf_counter()
+    for data in packets:
+        packet = CODEC.decode_caller(data)
         assert packet is not None
         event = ForwardedPacket(packet=packet, service=number, balancer="b", now=2.0)
         for effect in reduce(state, event):
             CODEC.encode_for_upstream(effect.packet, "10.0.0.1")
-    return (time.perf_counter() - begun) / FLOW_COUNT * 1e6
+    return (time.perf_counter() - started_at) / FLOW_COUNT * 1e6
 
 
 if __name__ == "__main__":
