--- a/benchmarks/days/__init__.py
+++ b/benchmarks/days/__init__.py
@@ -1,1 +1,1 @@
-"""Days of the project's own for the users' bench."""
+"""The project's own days for the external test bench."""
--- a/benchmarks/days/__main__.py
+++ b/benchmarks/days/__main__.py
@@ -1,10 +1,10 @@
-"""Play the project's own days on sites of the users' bench, one after another.
+"""Run the project's own days on sites of the external test bench.
 
-``python -m benchmarks.days BENCH SITE...`` runs each day of this folder on each
-site and ends with 1 if a day broke a rule or had a fault.  The bench is not part
-of this project, so its path is given.  Days with kinds of trouble that only some
-sites have (`health` among their contracts) are in a folder of their own; deployments
-of our own are in ``benchmarks/sites``.
+``python -m benchmarks.days BENCH SITE...`` runs each day of this folder on each site
+and exits with 1 if a run broke a rule or had a fault.  BENCH is the path of the test
+bench, which is not part of this project.  Days for sites that have `health` among
+their contracts are in the folder ``health``; the project's own sites are in
+``benchmarks/sites``.
 """
 
 from __future__ import annotations
@@ -22,8 +22,14 @@
 @click.command()
 @click.argument("bench")
 @click.argument("sites", nargs=-1, required=True)
-@click.option("--why", default="the project's own days", help="For the journal.")
-@click.option("--health", is_flag=True, help="Only days that need `health` contracts.")
+@click.option(
+    "--why", default="the project's own days", help="Reason for the journal entries."
+)
+@click.option(
+    "--health",
+    is_flag=True,
+    help="Run only the days for sites with the `health` contract.",
+)
 def main(bench: str, sites: tuple[str, ...], why: str, health: bool) -> None:
     """Run every day on every site."""
     folder = DAYS / "health" if health else DAYS
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -1,7 +1,7 @@
-"""Goodput, refusals and waits at one agent, through the reducer.
+"""Goodput, refusals and queueing time at one agent, through the reducer.
 
-Requests arrive at random at several times the capacity; the upstream takes an
-exponentially distributed time for each.  The ideal is all slots always busy.
+Requests arrive as a Poisson process at up to several times the capacity; service times
+are exponentially distributed.  The ideal goodput keeps all slots busy.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
 
 @define
 class RequestCounts:
-    """What became of the requests of one class."""
+    """Outcomes of the requests of one class."""
 
     sent: int = 0
     done: int = 0
@@ -57,7 +57,7 @@
 
 @define
 class AgentSimulation:
-    """One agent and its upstream in simulated time."""
+    """An agent and its upstream in simulated time."""
 
     load: float
     slots: int
@@ -91,7 +91,7 @@
             self.now += 2.0
 
     def dispatch(self, event) -> None:
-        """Reduce an event and carry out what matters here."""
+        """Reduce an event and apply the effects that count here."""
         self.state, effects = reduce(self.state, event)
         for effect in effects:
             match effect:
@@ -103,18 +103,18 @@
                     self.counts[self.arrivals[request][1]].refused += 1
 
     def _start_request(self, request: int) -> None:
-        elapsed = self.generator.expovariate(1 / SERVICE_TIME_SECONDS)
+        service_time = self.generator.expovariate(1 / SERVICE_TIME_SECONDS)
         waited = self.now - self.arrivals[request][0]
         self.waits.record_value(max(int(waited * MICROSECONDS), 1))
-        self.busy_seconds += elapsed
-        self._schedule(elapsed, "end", request)
+        self.busy_seconds += service_time
+        self._schedule(service_time, "end", request)
 
     def _schedule(self, delay: float, kind: str, request: int) -> None:
         entry = (self.now + delay, next(self._order), kind, request)
         heapq.heappush(self.events, entry)
 
     def run(self) -> None:
-        """Play the scene to its end."""
+        """Run the simulation to its end."""
         start = self.now
         numbers = itertools.count()
         rate = self.load * self.slots / SERVICE_TIME_SECONDS
@@ -162,61 +162,63 @@
 
 
 def measure_overload() -> list[Result]:
-    """Play each offered load."""
+    """Measure goodput, refusals and waits at each offered load."""
     results = []
     for load in LOADS:
-        desk = AgentSimulation(load=load, slots=3, generator=random.Random(5))
-        desk.run()
-        ideal = min(load, 1.0) * desk.slots * DURATION_SECONDS / SERVICE_TIME_SECONDS
-        done = sum(counts.done for counts in desk.counts.values())
-        sent = sum(counts.sent for counts in desk.counts.values())
-        refused = sum(counts.refused for counts in desk.counts.values())
+        simulation = AgentSimulation(load=load, slots=3, generator=random.Random(5))
+        simulation.run()
+        ideal = (
+            min(load, 1.0) * simulation.slots * DURATION_SECONDS / SERVICE_TIME_SECONDS
+        )
+        done = sum(counts.done for counts in simulation.counts.values())
+        sent = sum(counts.sent for counts in simulation.counts.values())
+        refused = sum(counts.refused for counts in simulation.counts.values())
         label = f"load {load:g}"
         results += [
             Result(f"goodput / ideal, {label}", done / ideal, ""),
             Result(f"refused share, {label}", refused / sent, ""),
-            Result(f"wait p50, {label}", _get_wait_milliseconds(desk, 50), "ms"),
-            Result(f"wait p99, {label}", _get_wait_milliseconds(desk, 99), "ms"),
+            Result(f"wait p50, {label}", _get_wait_milliseconds(simulation, 50), "ms"),
+            Result(f"wait p99, {label}", _get_wait_milliseconds(simulation, 99), "ms"),
         ]
     return results + _measure_flood() + _measure_slot_balance()
 
 
-def _get_wait_milliseconds(desk: AgentSimulation, percentile: float) -> float:
-    return desk.waits.get_value_at_percentile(percentile) / 1e3
+def _get_wait_milliseconds(simulation: AgentSimulation, percentile: float) -> float:
+    return simulation.waits.get_value_at_percentile(percentile) / 1e3
 
 
 def _measure_flood() -> list[Result]:
-    """Flood one class at ten times the other's rate, at 5 times the capacity."""
-    desk = AgentSimulation(
+    """Offer one class at ten times the other's rate, at 5 times the capacity."""
+    simulation = AgentSimulation(
         load=5.0,
         slots=3,
         generator=random.Random(6),
         class_shares={"claim": 0.09, "upload": 0.91},
     )
-    desk.run()
-    claim = desk.counts["claim"]
+    simulation.run()
+    claim = simulation.counts["claim"]
     share = claim.done / claim.sent
     return [Result("claims done under a flood of uploads, load 5", share, "")]
 
 
 def _measure_slot_balance() -> list[Result]:
-    """Compare the busy time of seven upstreams whose flows ask for work alike.
+    """Compare the busy time of upstreams whose flows all have the same request rate.
 
-    Each upstream's share of the work is its share of the flows, as the steady
-    scene of the placement benchmark leaves them.
+    The share of requests of each upstream is its share of the flows after the
+    steady scenario of the placement benchmark.
     """
-    playing = make_steady(BALANCED_UPSTREAM_COUNT)
-    flows = [agent.flow_count for agent in playing.agents.values()]
+    placement = make_steady(BALANCED_UPSTREAM_COUNT)
+    flows = [agent.flow_count for agent in placement.agents.values()]
     mean = sum(flows) / len(flows)
     busy = []
     for index, count in enumerate(flows):
-        desk = AgentSimulation(
+        simulation = AgentSimulation(
             load=BALANCED_LOAD * count / mean,
             slots=3,
             generator=random.Random(index),
             duration=BALANCED_SECONDS,
         )
-        desk.run()
-        busy.append(desk.busy_seconds)
+        simulation.run()
+        busy.append(simulation.busy_seconds)
     ratio = max(busy) * len(busy) / sum(busy)
     return [Result("max/mean of busy slots, steady, load 0.7", ratio, "")]
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -1,8 +1,8 @@
 """Imbalance of connections under each placement policy, through the reducers.
 
-Balancers and agents are the real states and reducers.  Each new flow goes to a
-random balancer; what it hears of a load is renewed once per lag.  Two alternatives
-choose at the balancer by what was last reported; they are measured here only.
+Balancers and agents are the real states and reducers.  Each new flow goes to a random
+balancer, whose view of an agent's load is refreshed once per report lag.  Two
+alternative strategies, which exist only here, choose at the balancer by reported load.
 """
 
 from __future__ import annotations
@@ -48,12 +48,12 @@
 
 @frozen(kw_only=True)
 class LeastReported:
-    """The balancer sends each flow to the upstream with the fewest reported."""
+    """The balancer chooses the upstream with the fewest reported flows."""
 
 
 @frozen(kw_only=True)
 class TwoReported:
-    """The balancer chooses the lesser reported of two candidates."""
+    """The balancer chooses the candidate of two with fewer reported flows."""
 
 
 Strategy = Policy | LeastReported | TwoReported
@@ -79,7 +79,7 @@
 
 
 def make_agent(name: str, address: Address, policy: Policy, slow_start: float):
-    """Return an agent's state without a configuration."""
+    """Return the state of an agent that has no configuration yet."""
     node = Node(name=name, address=address, balancer=False, incarnation=1)
     return AgentState(
         node=node,
@@ -94,7 +94,7 @@
 
 @define
 class PlacementSimulation:
-    """Some balancers and agents under one strategy."""
+    """Balancers and agents under one strategy in simulated time."""
 
     strategy: Strategy
     report_lag: float
@@ -116,7 +116,7 @@
         self.configure(self.inputs)
 
     def configure(self, inputs: AcceptanceInputs) -> None:
-        """Accept resources and put them in force everywhere."""
+        """Accept resources and apply the configuration at all nodes."""
         self.inputs = inputs
         self.configuration = accept_resources(self.configuration, inputs).configuration
         if not self.balancers:
@@ -137,7 +137,7 @@
             self.agents[upstream.number] = reduce(state, offered)[0]
 
     def open_flow(self) -> None:
-        """Open one flow and let its report travel."""
+        """Open one flow; its load report arrives after a delay."""
         self._deliver_reports()
         index = self.generator.randrange(len(self.balancers))
         cid = self.generator.randbytes(8)
@@ -173,7 +173,7 @@
         heapq.heappush(self.reports, entry)
 
     def _sample_load(self, balancer: int, number: int) -> Load:
-        """Return the load that a frame to this balancer reports."""
+        """Return the load that an agent reports to this balancer."""
         pair = (balancer, number)
         sampled, load = self._sampled_loads.get(pair, (-1e9, Load()))
         if self.now - sampled >= self.report_lag:
@@ -232,12 +232,12 @@
                 return None
         agents = self.balancers[index].router.agents
 
-        def weigh(upstream) -> tuple[int, float]:
+        def get_reported_flows(upstream) -> tuple[int, float]:
             agent = agents.get(upstream.number)
             flows = agent.load.flows if agent is not None else 0
             return flows, self.generator.random()
 
-        return min(candidates, key=weigh).number
+        return min(candidates, key=get_reported_flows).number
 
     def close_flows(self, share: float) -> None:
         """Close a random share of the flows."""
@@ -249,13 +249,13 @@
             self.agents[number] = reduce(self.agents[number], closed)[0]
 
     def open_flows(self, count: int) -> None:
-        """Open flows at the scene's rate."""
+        """Open flows at the rate `FLOWS_PER_SECOND`."""
         for _ in range(count):
             self.now += 1.0 / FLOWS_PER_SECOND
             self.open_flow()
 
     def get_imbalance(self) -> float:
-        """Return the most flows over the mean, of upstreams that take new ones."""
+        """Return the maximum over the mean of flows per active upstream."""
         counts = [
             self.agents[u.number].flow_count
             for u in self.configuration.upstreams
@@ -271,7 +271,7 @@
 
 
 def run_steady(simulation: PlacementSimulation, upstreams: int) -> None:
-    """Fill up, then replace half of the flows."""
+    """Open all flows, then replace half of them."""
     total = upstreams * FLOWS_PER_UPSTREAM
     simulation.open_flows(total)
     simulation.close_flows(CHURN_SHARE)
@@ -279,7 +279,7 @@
 
 
 def run_join(simulation: PlacementSimulation, upstreams: int) -> None:
-    """One more upstream joins, cold; then as many flows come as there were."""
+    """Add an upstream, then replace half of the flows."""
     run_steady(simulation, upstreams)
     simulation.configure(make_service(upstreams + 1))
     simulation.close_flows(CHURN_SHARE)
@@ -287,7 +287,7 @@
 
 
 def run_drain(simulation: PlacementSimulation, upstreams: int) -> None:
-    """One upstream drains; its flows come back to the others."""
+    """Drain an upstream, and open as many flows as it had."""
     run_steady(simulation, upstreams)
     change = Change(name="d", action=Action.DRAIN, target="u0")
     simulation.configure(evolve(simulation.inputs, changes=(change,)))
@@ -295,7 +295,7 @@
 
 
 def run_balancer_loss(simulation: PlacementSimulation, upstreams: int) -> None:
-    """All balancers but one die; a new one knows no load."""
+    """Replace all balancers but one by a new one, which knows no loads."""
     run_steady(simulation, upstreams)
     simulation.balancers = [
         simulation.balancers[0],
@@ -306,7 +306,7 @@
 
 
 def run_reconnect_burst(simulation: PlacementSimulation, upstreams: int) -> None:
-    """All callers come back within a second after an outage."""
+    """Open all flows within one second, as after an outage."""
     simulation.open_flows(10)
     for _ in range(upstreams * FLOWS_PER_UPSTREAM):
         simulation.now += 1.0 / (upstreams * FLOWS_PER_UPSTREAM)
@@ -323,45 +323,45 @@
 
 
 def measure_placement() -> list[Result]:
-    """Measure every strategy; every scene for the one that is used."""
+    """Measure every strategy when steady, and the policy in use in all scenarios."""
     results = []
     for (name, strategy), lag in itertools.product(
         STRATEGIES.items(), REPORT_LAGS_SECONDS
     ):
         value = _measure_imbalance(strategy, lag, "steady", 7)
         results.append(Result(f"max/mean, steady, {name}, lag {lag:g} s", value, ""))
-    for scene, lag in itertools.product(list(SCENARIOS)[1:], (0.1, 1.0)):
+    for scenario, lag in itertools.product(list(SCENARIOS)[1:], (0.1, 1.0)):
         for upstreams in (7, 4):
-            value = _measure_imbalance(TwoCandidates(), lag, scene, upstreams)
-            label = f"max/mean, {scene}, {upstreams} upstreams, lag {lag:g} s"
+            value = _measure_imbalance(TwoCandidates(), lag, scenario, upstreams)
+            label = f"max/mean, {scenario}, {upstreams} upstreams, lag {lag:g} s"
             results.append(Result(label, value, ""))
     return results + _measure_black_hole() + _measure_slow()
 
 
 def make_steady(upstreams: int) -> PlacementSimulation:
-    """Return a field under the policy in use, as the steady scene leaves it."""
-    playing = PlacementSimulation(
+    """Return a simulation of the policy in use after the steady scenario."""
+    simulation = PlacementSimulation(
         strategy=TwoCandidates(),
         report_lag=0.1,
         generator=random.Random(11),
         inputs=make_service(upstreams),
     )
-    run_steady(playing, upstreams)
-    return playing
+    run_steady(simulation, upstreams)
+    return simulation
 
 
 def _measure_black_hole() -> list[Result]:
-    """Measure how many new flows go to an upstream that sheds everything."""
-    playing = make_steady(7)
-    hole = playing.agents[1]
-    before = hole.flow_count
-    admission = hole.admission
+    """Measure the share of new flows placed on an upstream that sheds all requests."""
+    simulation = make_steady(7)
+    black_hole = simulation.agents[1]
+    before = black_hole.flow_count
+    admission = black_hole.admission
     for _ in range(admission.settings.breaker_failures):
-        admission = record_failure(admission, playing.now)
-    playing.agents[1] = evolve(hole, admission=admission)
-    playing.open_flows(FLOWS_PER_UPSTREAM)
-    share = (playing.agents[1].flow_count - before) / FLOWS_PER_UPSTREAM
-    refused = playing.refused_count / FLOWS_PER_UPSTREAM
+        admission = record_failure(admission, simulation.now)
+    simulation.agents[1] = evolve(black_hole, admission=admission)
+    simulation.open_flows(FLOWS_PER_UPSTREAM)
+    share = (simulation.agents[1].flow_count - before) / FLOWS_PER_UPSTREAM
+    refused = simulation.refused_count / FLOWS_PER_UPSTREAM
     return [
         Result("share of new flows to a black hole, 7 upstreams", share, ""),
         Result("share of new flows refused beside it", refused, ""),
@@ -369,25 +369,25 @@
 
 
 def _measure_slow() -> list[Result]:
-    """Measure how many new flows go to an upstream whose queue has grown."""
-    playing = make_steady(7)
-    slow = playing.agents[1]
+    """Measure the share of new flows placed on an upstream with a long queue."""
+    simulation = make_steady(7)
+    slow = simulation.agents[1]
     before = slow.flow_count
     admission = evolve(slow.admission, running=2 * slow.admission.slots)
-    playing.agents[1] = evolve(slow, admission=admission)
-    playing.open_flows(FLOWS_PER_UPSTREAM)
-    share = (playing.agents[1].flow_count - before) / FLOWS_PER_UPSTREAM
+    simulation.agents[1] = evolve(slow, admission=admission)
+    simulation.open_flows(FLOWS_PER_UPSTREAM)
+    share = (simulation.agents[1].flow_count - before) / FLOWS_PER_UPSTREAM
     return [Result("share of new flows to a slow one, 7 upstreams", share, "")]
 
 
 def _measure_imbalance(
     strategy: Strategy, lag: float, scenario: str, upstreams: int
 ) -> float:
-    playing = PlacementSimulation(
+    simulation = PlacementSimulation(
         strategy=strategy,
         report_lag=lag,
         generator=random.Random(11),
         inputs=make_service(upstreams),
     )
-    SCENARIOS[scenario](playing, upstreams)
-    return playing.get_imbalance()
+    SCENARIOS[scenario](simulation, upstreams)
+    return simulation.get_imbalance()
--- a/benchmarks/results.py
+++ b/benchmarks/results.py
@@ -10,7 +10,7 @@
 
 @frozen
 class Result:
-    """One measured figure."""
+    """A measured value with its unit."""
 
     name: str
     value: float
@@ -26,12 +26,12 @@
 
 
 def write_json(results: list[Result], path: pathlib.Path) -> None:
-    """Write results for programs."""
+    """Write results as a JSON array."""
     path.write_text(json.dumps([asdict(result) for result in results], indent=1))
 
 
 def draw_placement(results: list[Result], path: pathlib.Path) -> None:
-    """Draw the imbalance of each strategy against the lag of reports."""
+    """Plot the imbalance of each strategy against the lag of load reports."""
     import matplotlib
 
     matplotlib.use("Agg")
