--- a/properties/soak.py
+++ b/properties/soak.py
@@ -1,17 +1,19 @@
-"""A randomized soak: the real programs as processes, faults from outside.
+"""Randomized soak test: real node processes with injected faults.
 
-``python -m properties.soak --seeds 1-50`` plays one run a seed and ends with 1
-if a promise was broken; ``--fresh MINUTES`` draws seeds until the time is over.
-Every run prints its seed and its faults, and keeps its logs if it fails.
+``python -m properties.soak --seeds 1-50`` does one run per seed and exits with 1 if
+an invariant was violated; ``--fresh MINUTES`` draws random seeds until the time is up.
+Every run prints its seed and the number of its faults; a failed one also prints the
+faults and keeps its logs.
 
-While faults overlap, callers go on, half of them with several requests on a flow;
-the stand-ins check each packet (unchanged, right service, no reset of a flow whose
-upstream and VMs were undisturbed).  At the end all faults are taken back, every new
-request must be answered, and no request may have run on two upstreams.
+Callers send requests while faults overlap, half of them several requests per flow.
+The simulated callers and upstreams check that each packet is unchanged and reaches
+the right service, and that no flow is reset whose upstream and VMs were undisturbed.
+At the end all faults are removed; then every new request must be answered, and no
+request may have run on two upstreams.
 
-All messages between nodes, forwarded packets and calls of the store go through
-loopback proxies.  The nodes keep nothing on storage, and read the time of day only for
-the age of a checkpoint, so there are no faults of clocks and storage.
+Messages between nodes, forwarded packets and calls to the store go through loopback
+proxies.  Clock and disk faults are not injected: nodes write nothing to disk and read
+the time of day only for the age of a checkpoint.
 """
 
 from __future__ import annotations
@@ -41,10 +43,10 @@
 FAULT_PAUSE_SECONDS = (0.2, 1.2)
 FAULT_DURATION_SECONDS = (0.3, 3.0)
 LONG_FLOW_SHARE = 0.5
-"""Share of callers that send several requests on their flow."""
+"""Share of callers that send several requests on one flow."""
 REQUESTS_PER_LONG_FLOW = 12
 REMAP_SHARE = 0.3
-"""Share of flows that the routers soon send to another balancer."""
+"""Share of flows that the routers move to another balancer."""
 NODE_PROGRAM = ("shedsill.platform",)
 RECOVERY_SECONDS = 6.0
 FINAL_CALL_COUNT = 24
@@ -52,21 +54,21 @@
 MAX_LOG_BYTES = 4_000_000
 
 REGRESSIONS = {
-    7: "soak: an agent of the old service restarted beside the new upstream",
-    11: "soak: two replacements of one upstream ended in the wrong order",
-    12: "soak: a stopped agent was started again only after seconds, and given up",
-    14: "a balancer ended on an answer that named a doubted flow twice",
-    24: "as 12",
-    30: "as 12",
-    37: "as 12",
-    41: "an agent took a caller's packet for its choice of an upstream that had ended",
+    7: "soak: restarted an agent of the replaced service beside the new upstream",
+    11: "soak: two replacements of one upstream completed out of order",
+    12: "soak: restarted a stopped agent only after it had been declared lost",
+    14: "a balancer exited on an answer that named an unverified flow twice",
+    24: "same as 12",
+    30: "same as 12",
+    37: "same as 12",
+    41: "an agent took a caller's packet as selecting an upstream that had ended",
 }
-"""Seeds that have failed once, with the cause."""
+"""Seeds of past failures, with the cause of each."""
 
 
 @define
 class SoakRun:
-    """One run with one seed."""
+    """One run of the soak with one seed."""
 
     deployment: Deployment
     seed: int
@@ -75,7 +77,7 @@
     _fault_tasks: set[asyncio.Task] = field(factory=set)
 
     async def run(self, seconds: float) -> list[str]:
-        """Play the run and return what was broken."""
+        """Inject faults for some seconds; return the violations found."""
         for host, service in self.injector.agents.items():
             await self.deployment.start_agent(host, service)
         for host in self.injector.balancers:
@@ -84,50 +86,50 @@
             await self.deployment.wait_ready(host)
         await self.deployment.wait_known()
         calls = asyncio.create_task(self._send_calls())
-        plan = random.Random(self.seed)
-        left = seconds
-        while left > 0:
-            self._start_fault(plan)
-            pause = plan.uniform(*FAULT_PAUSE_SECONDS)
+        generator = random.Random(self.seed)
+        remaining = seconds
+        while remaining > 0:
+            self._start_fault(generator)
+            pause = generator.uniform(*FAULT_PAUSE_SECONDS)
             await asyncio.sleep(pause)
-            left -= pause
+            remaining -= pause
         await asyncio.gather(*self._fault_tasks)
         calls.cancel()
         return await self._check_recovery()
 
     async def _send_calls(self) -> None:
-        draw = random.Random(self.seed)
+        generator = random.Random(self.seed)
         while True:
-            service = draw.choice(SERVICES)
-            balancer = draw.choice(self.injector.balancers)
-            is_long = draw.random() < LONG_FLOW_SHARE
+            service = generator.choice(SERVICES)
+            balancer = generator.choice(self.injector.balancers)
+            is_long = generator.random() < LONG_FLOW_SHARE
             requests = REQUESTS_PER_LONG_FLOW if is_long else 1
             caller = self.deployment.call(service, balancer, requests=requests)
-            if draw.random() < REMAP_SHARE:
-                self._remap_flow(caller.flow, draw)
+            if generator.random() < REMAP_SHARE:
+                self._remap_flow(caller.flow, generator)
             await asyncio.sleep(1 / CALLS_PER_SECOND)
 
-    def _remap_flow(self, flow: bytes, draw: random.Random) -> None:
-        """Have the routers send a flow to another balancer soon."""
-        other = draw.choice(self.injector.balancers)
+    def _remap_flow(self, flow: bytes, generator: random.Random) -> None:
+        """Make the routers move a flow to another balancer after a short delay."""
+        other = generator.choice(self.injector.balancers)
         asyncio.get_running_loop().call_later(
-            draw.uniform(0.0, 0.1),
+            generator.uniform(0.0, 0.1),
             lambda: self.deployment.routers.update({flow: other}),
         )
 
-    def _start_fault(self, plan: random.Random) -> None:
-        fault = plan.choice(self.injector.list_faults())
-        span = plan.uniform(*FAULT_DURATION_SECONDS)
-        host = plan.choice([*self.injector.agents, *self.injector.balancers])
-        draw = random.Random(plan.getrandbits(32))
+    def _start_fault(self, generator: random.Random) -> None:
+        fault = generator.choice(self.injector.list_faults())
+        duration = generator.uniform(*FAULT_DURATION_SECONDS)
+        host = generator.choice([*self.injector.agents, *self.injector.balancers])
+        fault_generator = random.Random(generator.getrandbits(32))
         name = getattr(fault, "__name__", "")
-        self.faults.append(f"{name} {host} {span:.1f}")
-        task = asyncio.create_task(fault(host, span, draw))
+        self.faults.append(f"{name} {host} {duration:.1f}")
+        task = asyncio.create_task(fault(host, duration, fault_generator))
         self._fault_tasks.add(task)
         task.add_done_callback(self._fault_tasks.discard)
 
     async def _check_recovery(self) -> list[str]:
-        """Take the last faults back; then every request must be answered."""
+        """Remove all faults, then check that every new request is answered."""
         self.injector.get_links().faults.clear()
         for host in (*self.injector.agents, *self.injector.balancers):
             await self.injector.ensure_running(host)
@@ -143,32 +145,32 @@
             )
             for n in range(FINAL_CALL_COUNT)
         ]
-        # A request without any outcome is reported below, as the others are.
+        # A request without an outcome is reported below as a failure.
         with contextlib.suppress(TimeoutError):
             await self.deployment.settle(callers)
-        broken = [f"{type(e).__name__}: {e}" for e in self.deployment.errors]
+        violations = [f"{type(e).__name__}: {e}" for e in self.deployment.errors]
         failed = [c.outcome for c in callers if c.outcome != "answered"]
-        broken += [f"a request after the recovery: {outcome}" for outcome in failed]
+        violations += [f"request after recovery: {outcome}" for outcome in failed]
         for flow in self.deployment.find_doubled():
-            broken.append(f"requests of {flow.hex()} ran on two upstreams")
+            violations.append(f"requests of flow {flow.hex()} ran on two upstreams")
         for host, node in self.deployment.nodes.items():
-            broken += self._check_process(host, node)
-        return broken
+            violations += self._check_process(host, node)
+        return violations
 
     def _check_process(self, host: str, node) -> list[str]:
-        broken = []
+        violations = []
         if not node.running:
-            return [f"{host} has ended by itself"]
+            return [f"{host} exited unexpectedly"]
         status = pathlib.Path(f"/proc/{node.process.pid}/status").read_text()
         memory = next(li for li in status.splitlines() if li.startswith("VmRSS"))
         if int(memory.split()[1]) > MAX_MEMORY_KB:
-            broken.append(f"{host} holds {memory}")
+            violations.append(f"{host} exceeds {MAX_MEMORY_KB} kB of memory: {memory}")
         log = self.deployment.folder / f"{host}.log"
         if log.stat().st_size > MAX_LOG_BYTES:
-            broken.append(f"{host} wrote {log.stat().st_size} octets of log")
+            violations.append(f"{host} wrote {log.stat().st_size} bytes of log")
         if "Traceback" in log.read_text():
-            broken.append(f"{host} wrote a traceback")
-        return broken
+            violations.append(f"{host} wrote a traceback")
+        return violations
 
 
 def run_seed(
@@ -179,12 +181,12 @@
     agents: int = AGENT_COUNT,
     without: str = "",
 ) -> list[str]:
-    """Play one run; print and return what was broken.
+    """Run the soak with one seed; print and return the violations.
 
     Parameters
     ----------
     without : str
-        A guard of `shedsill.testing.weakened` that is taken out.
+        Guard of `shedsill.testing.weakened` to disable.
     """
     program = ("shedsill.testing.weakened", without) if without else NODE_PROGRAM
     folder = pathlib.Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
@@ -203,29 +205,50 @@
                 },
             )
             soak = SoakRun(deployment=deployment, seed=seed, injector=injector)
-            broken = await soak.run(seconds)
-            return broken, soak.faults, len(deployment.callers)
+            violations = await soak.run(seconds)
+            return violations, soak.faults, len(deployment.callers)
 
-    broken, faults, calls = asyncio.run(run())
-    verdict = "; ".join(broken) if broken else "kept every promise"
+    violations, faults, calls = asyncio.run(run())
+    verdict = "; ".join(violations) if violations else "no violations"
     click.echo(f"seed {seed}: {len(faults)} faults, {calls} calls: {verdict}")
-    if broken:
+    if violations:
         click.echo(f"  logs: {folder}\n  faults: {', '.join(faults)}")
     else:
         shutil.rmtree(folder)
-    return broken
+    return violations
 
 
 @click.command()
-@click.option("--seeds", default="1-3", show_default=True, help="FIRST-LAST.")
-@click.option("--seconds", default=12.0, show_default=True, help="Faults in a run.")
-@click.option("--fresh", default=0.0, help="Minutes of runs with fresh seeds.")
-@click.option("--balancers", default=BALANCER_COUNT, show_default=True)
-@click.option("--agents", default=AGENT_COUNT, show_default=True)
-@click.option("--without", default="", type=click.Choice(["", *GUARDS]))
-@click.option("--regressions", is_flag=True, help="Only seeds that failed once.")
+@click.option(
+    "--seeds", default="1-3", show_default=True, help="Range of seeds: FIRST-LAST."
+)
+@click.option(
+    "--seconds",
+    default=12.0,
+    show_default=True,
+    help="Seconds of fault injection per run.",
+)
+@click.option(
+    "--fresh", default=0.0, help="Minutes to run with random seeds, instead of --seeds."
+)
+@click.option(
+    "--balancers",
+    default=BALANCER_COUNT,
+    show_default=True,
+    help="Number of balancers.",
+)
+@click.option(
+    "--agents", default=AGENT_COUNT, show_default=True, help="Number of agents."
+)
+@click.option(
+    "--without",
+    default="",
+    type=click.Choice(["", *GUARDS]),
+    help="Guard to disable, to check that the soak detects it.",
+)
+@click.option("--regressions", is_flag=True, help="Run only seeds that failed before.")
 def main(seeds: str, seconds: float, fresh: float, regressions: bool, **size) -> None:
-    """Run the soak."""
+    """Run the soak test, one run per seed."""
     failed = []
     for seed in REGRESSIONS if regressions else draw_seeds(seeds, fresh):
         if run_seed(seed, seconds, **size):
@@ -235,7 +258,7 @@
 
 
 def draw_seeds(seeds: str, fresh: float) -> Iterator[int]:
-    """Yield the seeds of a range, or fresh ones until some minutes are over."""
+    """Yield the seeds of a range, or random ones for `fresh` minutes."""
     if not fresh:
         first, _, last = seeds.partition("-")
         yield from range(int(first), int(last or first) + 1)
--- a/properties/soak_faults.py
+++ b/properties/soak_faults.py
@@ -1,7 +1,7 @@
-"""The faults and planned steps of the soak, each played on one host or all.
+"""Faults and planned operations that the soak injects into a deployment.
 
-Each takes a host, a length in seconds and a source of the numbers that it draws itself,
-and ends once its fault has been taken back.
+Each takes a host, a duration in seconds and a random generator, and returns once the
+fault is removed.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 
 SERVICES = ("dispatcher", "intake")
 PLANNED_ONLY_DIVISOR = 3
-"""Each seed that this divides has planned steps only."""
+"""Seeds divisible by this run planned operations only."""
 LOSSY_SEED_MODULUS, LOSSY_SEED_REMAINDER = 5, 3
-"""Each seed with this rest has balancers that hear little; no VM counts as disturbed by
-that, since what a balancer does not hear must end no flow."""
+"""Seeds with this remainder also lose packets between balancers and agents.  No VM
+counts as disturbed by that: loss alone must not end a flow."""
 LOSS_SECONDS = (1.0, 4.0)
 FLAP_COUNT = 3
 DEGRADED_LINK = LinkFault(delay=0.02, jitter=0.1, loss=0.1, copies=0.2)
@@ -31,12 +31,12 @@
 STORE_FAULTS = ("busy", "reset", "silent", "slow", "lost", "forgotten")
 
 Fault = Callable[[str, float, random.Random], Awaitable[None]]
-"""A host, seconds, and where it draws the rest from."""
+"""Called with a host, a duration in seconds and a random generator."""
 
 
 @define
 class FaultInjector:
-    """Plays faults on one deployment."""
+    """Injects faults into one deployment."""
 
     deployment: Deployment
     seed: int
@@ -45,8 +45,11 @@
     _start_locks: dict[str, asyncio.Lock] = field(factory=dict)
 
     def list_faults(self) -> tuple[Fault, ...]:
-        """Return the faults of this run; every third seed has planned steps only,
-        so that no VM counts as disturbed and every reset is judged."""
+        """Return the faults of this run.
+
+        Every third seed has planned operations only: no VM counts as disturbed, so
+        that every reset is a violation.
+        """
         planned = (
             self.stop_node,
             self.reload_settings,
@@ -55,10 +58,10 @@
         )
         if self.seed % PLANNED_ONLY_DIVISOR == 0:
             return planned
-        deaf = (self.lose_balancer_packets,) * 4
+        lossy = (self.lose_balancer_packets,) * 4
         return (
             *planned,
-            *(deaf if self.seed % LOSSY_SEED_MODULUS == LOSSY_SEED_REMAINDER else ()),
+            *(lossy if self.seed % LOSSY_SEED_MODULUS == LOSSY_SEED_REMAINDER else ()),
             self.kill_node,
             self.freeze_node,
             self.crash_upstream,
@@ -71,21 +74,27 @@
             self.reset_connections,
         )
 
-    async def kill_node(self, host: str, span: float, draw: random.Random) -> None:
-        self.deployment.disturb(host, span)
+    async def kill_node(
+        self, host: str, duration: float, generator: random.Random
+    ) -> None:
+        self.deployment.disturb(host, duration)
         await self.deployment.kill(host)
-        await asyncio.sleep(span)
+        await asyncio.sleep(duration)
         await self.ensure_running(host)
 
-    async def freeze_node(self, host: str, span: float, draw: random.Random) -> None:
-        self.deployment.disturb(host, span)
+    async def freeze_node(
+        self, host: str, duration: float, generator: random.Random
+    ) -> None:
+        self.deployment.disturb(host, duration)
         node = self.deployment.nodes[host]
         node.signal(signal.SIGSTOP)
-        await asyncio.sleep(span)
+        await asyncio.sleep(duration)
         node.signal(signal.SIGCONT)
 
-    async def stop_node(self, host: str, span: float, draw: random.Random) -> None:
-        """Ask a node to stop; it starts again when it has ended."""
+    async def stop_node(
+        self, host: str, duration: float, generator: random.Random
+    ) -> None:
+        """Stop a node by SIGTERM and restart it once it has exited."""
         node = self.deployment.nodes[host]
         node.signal(signal.SIGTERM)
         if node.process is not None:
@@ -93,97 +102,107 @@
         await self.ensure_running(host)
 
     async def reload_settings(
-        self, host: str, span: float, draw: random.Random
+        self, host: str, duration: float, generator: random.Random
     ) -> None:
         self.deployment.change_settings(host, seeds=[f"{self.balancers[0]}:1"])
         self.deployment.nodes[host].signal(signal.SIGHUP)
 
-    async def crash_upstream(self, host: str, span: float, draw: random.Random) -> None:
-        host = draw.choice(list(self.agents))
-        self.deployment.disturb(host, span)
+    async def crash_upstream(
+        self, host: str, duration: float, generator: random.Random
+    ) -> None:
+        host = generator.choice(list(self.agents))
+        self.deployment.disturb(host, duration)
         self.deployment.upstreams[host].crash()
-        await asyncio.sleep(span)
+        await asyncio.sleep(duration)
         await self.deployment.start_upstream(host, self.agents[host])
 
-    async def drain_upstream(self, host: str, span: float, draw: random.Random) -> None:
-        host = draw.choice(list(self.agents))
+    async def drain_upstream(
+        self, host: str, duration: float, generator: random.Random
+    ) -> None:
+        host = generator.choice(list(self.agents))
         self.deployment.upstreams[host].state = UpstreamState.DRAINING
-        await asyncio.sleep(span)
+        await asyncio.sleep(duration)
         self.deployment.upstreams[host].state = UpstreamState.READY
 
-    async def flap_upstream(self, host: str, span: float, draw: random.Random) -> None:
+    async def flap_upstream(
+        self, host: str, duration: float, generator: random.Random
+    ) -> None:
         for _ in range(FLAP_COUNT):
-            await self.crash_upstream(host, span / FLAP_COUNT, draw)
-            await asyncio.sleep(span / FLAP_COUNT)
+            await self.crash_upstream(host, duration / FLAP_COUNT, generator)
+            await asyncio.sleep(duration / FLAP_COUNT)
 
     async def replace_upstream(
-        self, host: str, span: float, draw: random.Random
+        self, host: str, duration: float, generator: random.Random
     ) -> None:
-        """Have an upstream of the other service take over an address."""
-        host = draw.choice(list(self.agents))
+        """Replace an upstream by one of the other service at the same address."""
+        host = generator.choice(list(self.agents))
         if list(self.agents.values()).count(self.agents[host]) == 1:
             return
-        self.deployment.disturb(host, span)
+        self.deployment.disturb(host, duration)
         async with self._get_start_lock(host):
-            # No other fault may start the old agent beside the new upstream.
+            # Keeps other faults from restarting the agent of the replaced upstream.
             self.deployment.upstreams[host].crash()
             await self.deployment.kill(host)
             service = next(s for s in SERVICES if s != self.agents[host])
             self.agents[host] = service
             self.deployment.replace_service(host, service)
-        await asyncio.sleep(span)
+        await asyncio.sleep(duration)
         if not self.deployment.upstreams[host].alive:
             await self.deployment.start_upstream(host, self.agents[host])
         await self.ensure_running(host)
 
-    async def cut_link(self, host: str, span: float, draw: random.Random) -> None:
-        """Cut one direction between two nodes."""
+    async def cut_link(
+        self, host: str, duration: float, generator: random.Random
+    ) -> None:
+        """Cut the link between two nodes in one direction."""
         others = [*self.agents, *self.balancers, STORE_HOST]
-        other = draw.choice([other for other in others if other != host])
-        await self._break_links([(host, other)], CUT_LINK, span)
+        other = generator.choice([other for other in others if other != host])
+        await self._break_links([(host, other)], CUT_LINK, duration)
 
-    async def cut_node(self, host: str, span: float, draw: random.Random) -> None:
-        """Cut a node off, from all others or only from the store."""
+    async def cut_node(
+        self, host: str, duration: float, generator: random.Random
+    ) -> None:
+        """Cut all links of a node, or only those to the store."""
         others = [*self.agents, *self.balancers, STORE_HOST]
-        if draw.random() < 0.5:
+        if generator.random() < 0.5:
             others = [STORE_HOST]
         links = [link for o in others for link in ((host, o), (o, host))]
-        await self._break_links(links, CUT_LINK, span)
+        await self._break_links(links, CUT_LINK, duration)
 
     async def degrade_node_links(
-        self, host: str, span: float, draw: random.Random
+        self, host: str, duration: float, generator: random.Random
     ) -> None:
-        """Delay, lose, double and reorder what goes to and from a node."""
+        """Delay, lose, duplicate and reorder packets to and from a node."""
         others = [*self.agents, *self.balancers]
         links = [link for o in others for link in ((host, o), (o, host))]
-        await self._break_links(links, DEGRADED_LINK, span)
+        await self._break_links(links, DEGRADED_LINK, duration)
 
     async def lose_balancer_packets(
-        self, host: str, span: float, draw: random.Random
+        self, host: str, duration: float, generator: random.Random
     ) -> None:
-        """Lose half of what goes between a balancer and the agents."""
-        host = draw.choice(self.balancers)
+        """Lose half of the packets between a balancer and the agents."""
+        host = generator.choice(self.balancers)
         faults = self.get_links().faults
         links = [link for a in self.agents for link in ((host, a), (a, host))]
         faults.update(dict.fromkeys(links, LOSSY_LINK))
-        await asyncio.sleep(draw.uniform(*LOSS_SECONDS))
+        await asyncio.sleep(generator.uniform(*LOSS_SECONDS))
         for link in links:
             faults.pop(link, None)
 
     async def _break_links(
-        self, links: list[tuple[str, str]], fault: LinkFault, span: float
+        self, links: list[tuple[str, str]], fault: LinkFault, duration: float
     ) -> None:
         faults = self.get_links().faults
         for link in links:
             for host in link:
-                self.deployment.disturb(host, span)
+                self.deployment.disturb(host, duration)
             faults[link] = fault
-        await asyncio.sleep(span)
+        await asyncio.sleep(duration)
         for link in links:
             faults.pop(link, None)
 
     async def reset_connections(
-        self, host: str, span: float, draw: random.Random
+        self, host: str, duration: float, generator: random.Random
     ) -> None:
         self.deployment.disturb(host, 0.0)
         self.get_links().reset(host)
@@ -192,9 +211,11 @@
         assert self.deployment.links is not None
         return self.deployment.links
 
-    async def degrade_store(self, host: str, span: float, draw: random.Random) -> None:
+    async def degrade_store(
+        self, host: str, duration: float, generator: random.Random
+    ) -> None:
         faults = self.deployment.store.faults
-        match draw.choice(STORE_FAULTS):
+        match generator.choice(STORE_FAULTS):
             case "slow":
                 faults.delay = 0.3
             case "lost":
@@ -203,17 +224,19 @@
                 self.deployment.store.forget_history()
             case down:
                 faults.down = down
-        await asyncio.sleep(span)
+        await asyncio.sleep(duration)
         faults.down, faults.delay, faults.lose_answers = "", 0.0, 0
 
-    async def change_table(self, host: str, span: float, draw: random.Random) -> None:
+    async def change_table(
+        self, host: str, duration: float, generator: random.Random
+    ) -> None:
         self.deployment.write_table()
 
     def _get_start_lock(self, host: str) -> asyncio.Lock:
         return self._start_locks.setdefault(host, asyncio.Lock())
 
     async def ensure_running(self, host: str) -> None:
-        """Start a node that has ended; overlapping faults start it only once."""
+        """Start a node that has exited, once even if faults overlap."""
         async with self._get_start_lock(host):
             if not self.deployment.nodes[host].running:
                 await self.deployment.restart(host)
--- a/properties/test_bytes.py
+++ b/properties/test_bytes.py
@@ -1,4 +1,4 @@
-"""Bytes and text from outside: decoded, or refused by the one named error."""
+"""Untrusted bytes and text are decoded or rejected with the documented error."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 packets = st.one_of(
     st.binary(max_size=1500),
     st.builds(
-        lambda head, rest: bytes([0xC0]) + head + rest,
+        lambda version, rest: bytes([0xC0]) + version + rest,
         st.sampled_from(
             [b"\x00\x00\x00\x01", b"\x6b\x33\x43\xcf", b"\x00\x00\x00\x00"]
         ),
@@ -62,9 +62,7 @@
 
 @deterministic
 @given(st.binary(max_size=400), st.booleans())
-def test_any_message_between_nodes_is_decoded_or_refused(
-    data: bytes, signed: bool
-) -> None:
+def test_any_node_message_is_decoded_or_rejected(data: bytes, signed: bool) -> None:
     envelope = sign_message(KEYS, data) if signed else data
     for decode in (
         decode_frame,
@@ -78,20 +76,20 @@
 
 @deterministic
 @given(st.text(max_size=80))
-def test_any_key_is_a_ticket_or_none(text: str) -> None:
+def test_random_key_is_not_a_ticket(text: str) -> None:
     assert KEYS.decrypt_ticket(text) is None
 
 
 @deterministic
 @given(st.binary(max_size=200))
-def test_any_configuration_text_is_decoded_or_refused(data: bytes) -> None:
+def test_any_configuration_text_is_decoded_or_rejected(data: bytes) -> None:
     with contextlib.suppress(DecodeError):
         decode_configuration_text(data)
 
 
 @deterministic
 @given(st.text(max_size=200))
-def test_any_text_is_documents_or_refused(text: str) -> None:
+def test_any_text_is_parsed_or_rejected(text: str) -> None:
     with contextlib.suppress(DocumentError):
         parse_documents(text)
 
@@ -106,6 +104,6 @@
         json_values,
     ),
 )
-def test_any_fields_are_a_resource_or_refused(kind: str, spec: dict) -> None:
+def test_any_resource_fields_are_parsed_or_rejected(kind: str, spec: dict) -> None:
     with contextlib.suppress(DocumentError):
         parse_documents(json.dumps({"kind": kind, "name": "x", "spec": spec}))
--- a/properties/test_datagram_messages.py
+++ b/properties/test_datagram_messages.py
@@ -1,7 +1,7 @@
-"""Any message from any node, in any order, leaves a balancer running.
+"""A balancer handles any series of messages without an error.
 
-Messages come over the network: they name flows twice, flows that nobody asked for and
-nodes that nobody knows, and they come late.  The reducer must take each of them.
+Messages may be late, name a flow twice, or name flows that were not asked about and
+unknown nodes.
 """
 
 from __future__ import annotations
@@ -55,9 +55,7 @@
 
 
 PACKETS = [
-    make_caller_packet(caller, syn=first)
-    for caller in CALLERS
-    for first in (True, False)
+    make_caller_packet(caller, syn=syn) for caller in CALLERS for syn in (True, False)
 ]
 FLOWS = [packet.flow for packet in PACKETS[::2]]
 
@@ -143,7 +141,7 @@
 
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(st.lists(steps, min_size=MIN_STEPS, max_size=2 * MIN_STEPS))
-def test_a_balancer_takes_any_message(series: list) -> None:
+def test_balancer_handles_any_series_of_messages(series: list) -> None:
     world = World(services=("dispatcher",))
     for host in HOSTS[:3]:
         world.add_agent(host, "dispatcher", first=True)
--- a/properties/test_datagram_world.py
+++ b/properties/test_datagram_world.py
@@ -1,10 +1,9 @@
-"""Random series of faults and planned steps on opaque flows.
+"""Stateful fuzzing of datagram nodes with faults and planned operations.
 
-The nodes are the real reducers in `shedsill.testing.datagrams`.  Callers and
-upstreams raise `OracleError` when a promise is broken: a packet changed, the wrong
-service, or a reset of a flow whose upstream holds it.  All faults here are ones
-through which no living flow may be reset: nodes are away for less time than after
-which they are given up.
+The nodes are the real reducers, run by `shedsill.testing.datagrams`.  Simulated
+callers and upstreams raise `OracleError` if a packet is changed or reaches the wrong
+service, or if a flow is reset that its upstream still holds.  Nodes are always back
+before they are declared lost, so that no open flow may be reset.
 """
 
 from __future__ import annotations
@@ -26,20 +25,20 @@
     "10.2.0.2": "intake",
 }
 RESTART_SECONDS = 0.3
-"""Seconds after which the platform starts a process again."""
+"""Time that the platform takes to restart a process."""
 
 REQUESTS_PER_LONG_FLOW = 12
-"""Requests on a long flow, with pauses between them."""
+"""Requests are sent one after another, with pauses."""
 
 IDLE_SECONDS = 40.0
-"""Seconds after which a series without callers must have left nothing behind."""
+"""Time without callers after which all flow state must be gone."""
 
 balancers = st.sampled_from(BALANCERS)
 agents = st.sampled_from(list(AGENTS))
 
 
 class FlowsMachine(RuleBasedStateMachine):
-    """One deployment and what is done to it."""
+    """One deployment under random operations and faults."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -103,7 +102,7 @@
 
     @rule(crashed=st.sets(agents), outage=st.floats(0.0, 2.0))
     def lose_power(self, crashed: set[str], outage: float) -> None:
-        """End all nodes and some upstreams; those start again with their VMs."""
+        """Kill all nodes and some upstreams, and restart them after the outage."""
         for host in (*BALANCERS, *AGENTS):
             self.world.kill(host)
         for host in sorted(crashed):
@@ -118,7 +117,7 @@
 
     @rule(hosts=st.sets(balancers))
     def delay_watches(self, hosts: set[str]) -> None:
-        """Have only the other balancers hear at once of what the store holds."""
+        """Pause the store watches of some balancers."""
         self.world.resting = hosts
 
     @rule(host=agents)
@@ -130,7 +129,7 @@
 
     @rule(host=agents, delay=st.floats(0.0, 1.0))
     def restart_upstream_before_heartbeat(self, host: str, delay: float) -> None:
-        """The new run takes flows before its first heartbeat arrives."""
+        """Restart an upstream that accepts flows before its first heartbeat arrives."""
         self.world.crash_upstream(host)
         self.world.run(RESTART_SECONDS)
         self.world.start_upstream(host, AGENTS[host])
@@ -141,7 +140,7 @@
 
     @rule(host=balancers, seconds=st.floats(0.1, 5.0), seed=st.integers(0, 99))
     def lose_balancer_packets(self, host: str, seconds: float, seed: int) -> None:
-        """Lose most of what it sends and is sent, then less and less of it."""
+        """Lose packets to and from a balancer at a decreasing rate."""
         self.world.is_lost = losses = Losses(host, 1.0, seed)
         for losses.share in (1.0, 0.6, 0.3):
             self.world.run(seconds / 3)
@@ -172,7 +171,7 @@
         )
 
     def teardown(self) -> None:
-        """Once all is well again, new requests are answered and nothing is left."""
+        """After recovery, new requests are answered and no flow state is left."""
         self.toggle_store(True)
         for host in AGENTS:
             self.change_upstream_state(host, UpstreamState.READY)
--- a/properties/test_soak.py
+++ b/properties/test_soak.py
@@ -1,4 +1,4 @@
-"""A short soak with a fixed seed, and what it finds when a guard is taken out."""
+"""Short soak runs with fixed seeds, and one with a guard disabled."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 @pytest.mark.parametrize("seed", [MIXED_SEED, PLANNED_SEED, LOSSY_SEED])
-def test_a_short_soak_keeps_every_promise(seed: int) -> None:
+def test_short_soak_finds_no_violations(seed: int) -> None:
     assert run_seed(seed, FAULT_SECONDS) == []
 
 
-def test_the_soak_finds_changed_packets() -> None:
-    broken = run_seed(MIXED_SEED, 1.0, without="content")
-    assert any("changed" in line for line in broken)
+def test_soak_without_content_guard_reports_changed_packets() -> None:
+    violations = run_seed(MIXED_SEED, 1.0, without="content")
+    assert any("changed" in line for line in violations)
--- a/properties/test_world.py
+++ b/properties/test_world.py
@@ -1,7 +1,7 @@
-"""Stateful fuzzing of the real reducers against the oracle of `World`.
+"""Stateful fuzzing of the HTTP/3 reducers against the oracle of `World`.
 
-CI runs a fixed number of seeded examples.  A longer run, which prints how many
-steps it did:
+CI runs a fixed number of seeded examples.  A longer run, which prints its number of
+steps:
 
     SHEDSILL_FUZZ_EXAMPLES=2000 python -m pytest -s properties/test_world.py
 """
@@ -35,7 +35,7 @@
 
 
 class WorldMachine(RuleBasedStateMachine):
-    """Callers, operators and faults in any order."""
+    """Requests, operations and faults in any order."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -138,7 +138,7 @@
 
     @rule(index=indexes)
     def retry_with_new_ticket(self, index: int) -> None:
-        """After a refusal the same work goes on under the ticket that came with it."""
+        """Retry a refused request with the ticket from the refusal."""
         self._count_step()
         refused = [
             attempt
@@ -185,14 +185,14 @@
 
     @rule(name=st.sampled_from(["d1", "d2", "d3", "i1"]))
     def stop_agent_and_close_flows(self, name: str) -> None:
-        """Stop an agent and close its flows, so that it hands its record on."""
+        """Stop an agent and close its flows, so that it hands over its records."""
         self._count_step()
         self.world.stop(name)
         for flow in self._list_open_flows():
             if flow.agent == name:
                 self.world.close_flow(flow)
 
-    # The network and time.
+    # Network and time.
 
     @rule(choices=st.lists(indexes, min_size=1, max_size=12))
     def deliver_messages(self, choices: list[int]) -> None:
@@ -226,13 +226,13 @@
 
     # Upstreams.
 
-    @rule(index=indexes, how=st.sampled_from(["done", "done", "cut", "shed"]))
-    def finish_request(self, index: int, how: str) -> None:
+    @rule(index=indexes, ending=st.sampled_from(["done", "done", "cut", "shed"]))
+    def finish_request(self, index: int, ending: str) -> None:
         self._count_step()
         running = self.world.list_running()
         if running:
             run = running[index % len(running)]
-            self.world.finish(run, answered=how != "cut", shed=how == "shed")
+            self.world.finish(run, answered=ending != "cut", shed=ending == "shed")
 
     # Processes.
 
@@ -269,7 +269,7 @@
         self._count_step()
         self.world.stop(name)
 
-    # The platform and operators.
+    # Platform and operators.
 
     @rule(down=st.booleans(), lost=st.integers(0, 2), stale=st.integers(0, 1))
     def degrade_platform(self, down: bool, lost: int, stale: int) -> None:
@@ -278,10 +278,10 @@
         self.world.lose_answers = lost
         self.world.stale_lists = stale
 
-    @rule(name=st.sampled_from(["d1", "d2", "i1"]), begin=st.booleans())
-    def drain_or_undrain_upstream(self, name: str, begin: bool) -> None:
+    @rule(name=st.sampled_from(["d1", "d2", "i1"]), drain=st.booleans())
+    def drain_or_undrain_upstream(self, name: str, drain: bool) -> None:
         self._count_step()
-        if begin:
+        if drain:
             change = Change(name=f"drain-{name}", action=Action.DRAIN, target=name)
             self.world.apply(change)
         else:
@@ -308,7 +308,7 @@
         totals["steps"] += 1
 
     def teardown(self) -> None:
-        """Heal everything: each request has an answer, and all nodes agree."""
+        """After all faults are removed, requests are answered and all nodes agree."""
         if not self.world.nodes:
             return
         self.world.heal()
@@ -327,7 +327,7 @@
 
 
 class TestWorld(WorldMachine.TestCase):
-    """Runs the machine under pytest."""
+    """Runs the state machine under pytest and prints the number of steps."""
 
     @classmethod
     def tearDownClass(cls) -> None:
