--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -34,7 +34,7 @@
 UPSTREAM_COUNTS = (50, 100, 200, 400, 800)
 UPSTREAMS_PER_SERVICE = 4
 NODE_COUNTS = (30, 300, 3_000, 21_900)
-REPEATS = 5
+TIMING_REPEATS = 5
 
 
 def make_inputs(upstreams: int) -> AcceptanceInputs:
@@ -69,9 +69,9 @@
 
 
 def _time_call(function: Callable[[], object]) -> float:
-    """Return the minimum CPU time over `REPEATS` calls, in seconds."""
+    """Return the minimum CPU time over `TIMING_REPEATS` calls, in seconds."""
     best = float("inf")
-    for _ in range(REPEATS):
+    for _ in range(TIMING_REPEATS):
         start = time.process_time()
         function()
         best = min(best, time.process_time() - start)
--- a/benchmarks/ledger.py
+++ b/benchmarks/ledger.py
@@ -58,7 +58,7 @@
 
 
 @frozen
-class Deployment:
+class BoundParameters:
     """The parameters of a site and a day that the bound depends on.
 
     Attributes
@@ -104,7 +104,7 @@
         )
 
 
-def read_deployment(site: dict, day_name: str) -> Deployment:
+def read_bound_parameters(site: dict, day_name: str) -> BoundParameters:
     """Read a site; its `thin` scales traffic and slots."""
     day = next(day for day in site["day"] if day["name"] == day_name)
     thin = site.get("thin", 1.0)
@@ -139,7 +139,7 @@
     outage = None
     if closing.get("kind") == "power_off_all":
         outage = site["length_s"], site["length_s"] + closing["down_s"]
-    return Deployment(
+    return BoundParameters(
         classes=classes,
         request_rate=rate,
         slots_by_service=slots,
@@ -160,22 +160,22 @@
 
 
 def simulate_bound(
-    deployment: Deployment, generator: random.Random
+    parameters: BoundParameters, generator: random.Random
 ) -> tuple[dict[int, RequestTally], dict[str, RequestTally]]:
     """Simulate the bound for one day; return tallies by window and by class."""
     windows: dict[int, RequestTally] = collections.defaultdict(RequestTally)
     classes: dict[str, RequestTally] = collections.defaultdict(RequestTally)
     by_service: dict[str, list[tuple[float, float, RequestClass]]] = {}
     sent_at = 0.0
-    while sent_at < deployment.duration:
-        sent_at += generator.expovariate(deployment.request_rate)
-        request_classes = deployment.classes
+    while sent_at < parameters.duration:
+        sent_at += generator.expovariate(parameters.request_rate)
+        request_classes = parameters.classes
         request_class = generator.choices(
             request_classes, [request_class.share for request_class in request_classes]
         )[0]
         arrival = (
-            find_syn_arrival(sent_at, deployment.outage)
-            if deployment.outage
+            find_syn_arrival(sent_at, parameters.outage)
+            if parameters.outage
             else sent_at
         )
         if arrival is None:
@@ -185,7 +185,7 @@
             by_service.setdefault(request_class.service, []).append(entry)
     for service, arrivals in by_service.items():
         for sent_at, request_class, latency in _simulate_service(
-            deployment, service, arrivals, generator
+            parameters, service, arrivals, generator
         ):
             _count_request(windows, classes, sent_at, request_class, latency)
     return windows, classes
@@ -203,20 +203,20 @@
 
 
 def _simulate_service(
-    deployment: Deployment,
+    parameters: BoundParameters,
     service: str,
     arrivals: list[tuple[float, float, RequestClass]],
     generator: random.Random,
 ) -> list[tuple[float, RequestClass, float | None]]:
     """Serve the requests of one service; those running when power fails are lost."""
-    slots = deployment.slots_by_service[service]
+    slots = parameters.slots_by_service[service]
     weighted_times = [
-        k.service_time * k.share for k in deployment.classes if k.service == service
+        k.service_time * k.share for k in parameters.classes if k.service == service
     ]
-    shares = [k.share for k in deployment.classes if k.service == service]
+    shares = [k.share for k in parameters.classes if k.service == service]
     mean_service_time = sum(weighted_times) / sum(shares)
-    outage = deployment.outage or (math.inf, math.inf)
-    cold_until = outage[1] + deployment.cold_time
+    outage = parameters.outage or (math.inf, math.inf)
+    cold_until = outage[1] + parameters.cold_time
     backlog = Backlog()
     queued: dict[bytes, tuple[float, RequestClass]] = {}
     free_at = [0.0] * slots
@@ -246,14 +246,14 @@
             now=now,
             slots=slots,
             cold_until=cold_until if cold else 0.0,
-            cold_service_time=mean_service_time * deployment.cold_factor,
+            cold_service_time=mean_service_time * parameters.cold_factor,
             service_time=mean_service_time,
         )
         flow = choose_next_request(backlog, forecast)
         del backlog.requests[flow]
         sent_at, request_class = queued.pop(flow)
         service_time = generator.expovariate(1 / request_class.service_time)
-        service_time *= deployment.cold_factor if cold else 1.0
+        service_time *= parameters.cold_factor if cold else 1.0
         end = now + service_time
         if now < outage[0] < end:
             outcomes.append((sent_at, request_class, None))
@@ -364,11 +364,11 @@
     if log is not None:
         print_figures(sum_figures(log))
     values = tomllib.loads(site.read_text())
-    deployment = read_deployment(values, day)
+    parameters = read_bound_parameters(values, day)
     worths = []
     totals = RequestTally()
     for seed in range(BOUND_SEED_COUNT):
-        windows, classes = simulate_bound(deployment, random.Random(seed))
+        windows, classes = simulate_bound(parameters, random.Random(seed))
         worths.append(compute_worth(values["goal"], windows, classes))
         for tally in classes.values():
             totals.sent += tally.sent
--- a/properties/soak_faults.py
+++ b/properties/soak_faults.py
@@ -157,7 +157,7 @@
         """Cut the link between two nodes in one direction."""
         others = [*self.agents, *self.balancers, STORE_HOST]
         other = generator.choice([other for other in others if other != host])
-        await self._break_links([(host, other)], CUT_LINK, duration)
+        await self._apply_link_fault([(host, other)], CUT_LINK, duration)
 
     async def cut_node(
         self, host: str, duration: float, generator: random.Random
@@ -167,7 +167,7 @@
         if generator.random() < 0.5:
             others = [STORE_HOST]
         links = [link for o in others for link in ((host, o), (o, host))]
-        await self._break_links(links, CUT_LINK, duration)
+        await self._apply_link_fault(links, CUT_LINK, duration)
 
     async def degrade_node_links(
         self, host: str, duration: float, generator: random.Random
@@ -175,7 +175,7 @@
         """Delay, lose, duplicate and reorder packets to and from a node."""
         others = [*self.agents, *self.balancers]
         links = [link for o in others for link in ((host, o), (o, host))]
-        await self._break_links(links, DEGRADED_LINK, duration)
+        await self._apply_link_fault(links, DEGRADED_LINK, duration)
 
     async def lose_balancer_packets(
         self, host: str, duration: float, generator: random.Random
@@ -189,7 +189,7 @@
         for link in links:
             faults.pop(link, None)
 
-    async def _break_links(
+    async def _apply_link_fault(
         self, links: list[tuple[str, str]], fault: LinkFault, duration: float
     ) -> None:
         faults = self.get_links().faults
--- a/properties/test_datagram_world.py
+++ b/properties/test_datagram_world.py
@@ -116,8 +116,8 @@
             self.world.add_agent(host, service, zone=f"z{number % 2}")
 
     @rule(hosts=st.sets(balancers))
-    def delay_watches(self, hosts: set[str]) -> None:
-        """Pause the store watches of some balancers."""
+    def suspend_watches(self, hosts: set[str]) -> None:
+        """Suspend the store watches of some balancers."""
         self.world.resting = hosts
 
     @rule(host=agents)
