--- a/benchmarks/ledger.py
+++ b/benchmarks/ledger.py
@@ -365,18 +365,18 @@
         print_figures(sum_figures(log))
     values = tomllib.loads(site.read_text())
     parameters = read_bound_parameters(values, day)
-    worths = []
+    scores = []
     totals = RequestTally()
     for seed in range(BOUND_SEED_COUNT):
         windows, classes = simulate_bound(parameters, random.Random(seed))
-        worths.append(compute_worth(values["goal"], windows, classes))
+        scores.append(compute_worth(values["goal"], windows, classes))
         for tally in classes.values():
             totals.sent += tally.sent
             totals.in_time += tally.in_time
             totals.late += tally.late
     lost = totals.sent - totals.in_time - totals.late
     click.echo(
-        f"bound {statistics.fmean(worths):.3f} before prices: "
+        f"bound {statistics.fmean(scores):.3f} before prices: "
         f"{totals.late / BOUND_SEED_COUNT:.0f} late, {lost / BOUND_SEED_COUNT:.0f} lost"
     )
 
--- a/benchmarks/plays.py
+++ b/benchmarks/plays.py
@@ -80,14 +80,14 @@
 def read_report(report: dict) -> Outcome:
     """Return the result in a report of the bench."""
     totals = report["all"]
-    owed = max(totals["n"] - totals["not_owed"], 1)
+    answerable = max(totals["n"] - totals["not_owed"], 1)
     lost = totals["refused"] + totals["failed"]
     broken = [*report["breaks"], *([report["fault"]] if report["fault"] else [])]
     return Outcome(
         worth=report["G"] or 0.0,
-        in_time=totals["in_aim"] / owed,
-        late=totals["late"] / owed,
-        lost=lost / owed,
+        in_time=totals["in_aim"] / answerable,
+        late=totals["late"] / answerable,
+        lost=lost / answerable,
         broken=", ".join(map(str, broken)),
     )
 
