--- a/benchmarks/agents.py
+++ b/benchmarks/agents.py
@@ -1,4 +1,4 @@
-"""What connections cost an agent, and what the path adds to a request."""
+"""Cost of connections at an agent, and latency of requests on the whole path."""
 
 from __future__ import annotations
 
@@ -27,29 +27,29 @@
 from shedsill.testing.documents import make_layout
 from shedsill.testing.processes import SECRET, Cluster, run_cluster
 
-HANDSHAKES = 300
-REQUESTS = 300
+HANDSHAKE_COUNT = 300
+REQUEST_COUNT = 300
 BALANCER = Address("127.0.0.1", 1)
 KEYS = KeyRing((bytes.fromhex(SECRET),))
 
 
-class _Meter:
-    """Adds up processor time and memory of the agent's side alone."""
+class _ResourceMeter:
+    """Sums CPU time and allocated memory of the agent's part of a handshake."""
 
     def __init__(self) -> None:
         self.seconds = 0.0
-        self.octets = 0
+        self.allocated_bytes = 0
 
     @contextlib.contextmanager
     def measure(self):
         start, before = time.process_time(), tracemalloc.get_traced_memory()[0]
         yield
         self.seconds += time.process_time() - start
-        self.octets += tracemalloc.get_traced_memory()[0] - before
+        self.allocated_bytes += tracemalloc.get_traced_memory()[0] - before
 
 
 def _make_table(outbox: list[tuple[Address, bytes]]) -> FlowTable:
-    def mint() -> bytes:
+    def generate_connection_id() -> bytes:
         return KEYS.make_connection_id(Route(1, 1, 1), epoch=1, nonce=os.urandom(6))
 
     callbacks = FlowCallbacks(
@@ -62,7 +62,9 @@
         on_failed=lambda _flow, _error: None,
     )
     table = FlowTable(
-        ConnectionIdGenerator(generate=mint, make_reset_token=KEYS.make_reset_token),
+        ConnectionIdGenerator(
+            generate=generate_connection_id, make_reset_token=KEYS.make_reset_token
+        ),
         callbacks,
     )
     pair = make_certificate()
@@ -73,10 +75,10 @@
     return table
 
 
-async def _shake_hands(count: int) -> _Meter:
+async def _complete_handshakes(count: int) -> _ResourceMeter:
     outbox: list[tuple[Address, bytes]] = []
     table = _make_table(outbox)
-    meter = _Meter()
+    meter = _ResourceMeter()
     loop = asyncio.get_running_loop()
     clients = []
     for index in range(count):
@@ -106,21 +108,25 @@
 
 
 async def measure_connections() -> list[Result]:
-    """Time handshakes, and weigh open connections, at the agent."""
-    timed = await _shake_hands(HANDSHAKES)
+    """Measure CPU time per handshake and memory per connection at the agent."""
+    timing_run = await _complete_handshakes(HANDSHAKE_COUNT)
     tracemalloc.start()
-    weighed = await _shake_hands(HANDSHAKES)
+    memory_run = await _complete_handshakes(HANDSHAKE_COUNT)
     tracemalloc.stop()
-    cost = timed.seconds / HANDSHAKES
+    cost = timing_run.seconds / HANDSHAKE_COUNT
     return [
         Result("agent, handshake", cost * 1e3, "ms"),
         Result("agent, handshakes/s", 1 / cost, "1/s"),
-        Result("agent, memory per connection", weighed.octets / HANDSHAKES / 1e3, "kB"),
+        Result(
+            "agent, memory per connection",
+            memory_run.allocated_bytes / HANDSHAKE_COUNT / 1e3,
+            "kB",
+        ),
     ]
 
 
-class _Direct(asyncio.DatagramProtocol):
-    """Stands where fabric and balancer stand, for one caller."""
+class _DirectRelay(asyncio.DatagramProtocol):
+    """Relays one caller's datagrams to an agent, in place of a balancer."""
 
     def __init__(self, agent: Address, upstream: int, service: int) -> None:
         self._agent = agent
@@ -151,7 +157,7 @@
 async def _time_requests(address: Address) -> HdrHistogram:
     histogram = HdrHistogram(1, 60_000_000, 3)
     async with open_client(address) as client:
-        for _ in range(REQUESTS):
+        for _ in range(REQUEST_COUNT):
             start = time.perf_counter()
             response = await client.request("GET", "/read")
             assert response.status == 200, response
@@ -159,18 +165,18 @@
     return histogram
 
 
-async def _compare_paths(cluster: Cluster) -> list[Result]:
-    whole = await _time_requests(cluster.fronts["intake"])
+async def _time_paths(cluster: Cluster) -> list[Result]:
+    balanced = await _time_requests(cluster.fronts["intake"])
     loop = asyncio.get_running_loop()
     agent = cluster.agents["intake-1"]
     transport, _direct = await loop.create_datagram_endpoint(
-        lambda: _Direct(agent, 1, 1), local_addr=("127.0.0.1", 0)
+        lambda: _DirectRelay(agent, 1, 1), local_addr=("127.0.0.1", 0)
     )
     address = Address(*transport.get_extra_info("sockname"))
     direct = await _time_requests(address)
     transport.close()
     results = []
-    for name, histogram in (("whole path", whole), ("direct to agent", direct)):
+    for name, histogram in (("whole path", balanced), ("direct to agent", direct)):
         for percentile in (50, 99):
             value = histogram.get_value_at_percentile(percentile) / 1e3
             results.append(Result(f"request, {name}, p{percentile}", value, "ms"))
@@ -178,10 +184,10 @@
 
 
 def measure_latency() -> list[Result]:
-    """Time requests through the whole path and straight to an agent."""
+    """Measure latency through a balancer and directly to an agent."""
     layout = make_layout("intake", count=1, slots=4)
     with tempfile.TemporaryDirectory() as directory:
         cluster = Cluster((layout,), directory)
         cluster.extra["upstream"] = ("--work", "0.001")
         with run_cluster(cluster):
-            return asyncio.run(_compare_paths(cluster))
+            return asyncio.run(_time_paths(cluster))
--- a/properties/soak_faults.py
+++ b/properties/soak_faults.py
@@ -1,7 +1,7 @@
-"""The faults and planned steps of the soak, each played on one host or all.
+"""Faults and planned operations that the soak injects into a deployment.
 
-Each takes a host, a length in seconds and a source of the numbers that it draws itself,
-and ends once its fault has been taken back.
+Each takes a host, a duration in seconds and a random generator, and returns once the
+fault is removed.
 """
 
 from __future__ import annotations
@@ -18,168 +18,191 @@
 from shedsill.testing.links import LinkFault, Links
 
 SERVICES = ("dispatcher", "intake")
-PLANNED_ONLY = 3
-"""Each seed that this divides has planned steps only."""
-DEAF_RUNS, DEAF_REST = 5, 3
-"""Each seed with this rest has balancers that hear little; no VM counts as disturbed by
-that, since what a balancer does not hear must end no flow."""
-DEAF_TIME = (1.0, 4.0)
-FLAPS = 3
-WEAK_LINK = LinkFault(delay=0.02, jitter=0.1, loss_share=0.1, duplicate_share=0.2)
-DEAF_LINK = LinkFault(loss_share=0.5)
-CUT = LinkFault(blocked=True)
+PLANNED_ONLY_DIVISOR = 3
+"""Seeds divisible by this run planned operations only."""
+LOSSY_SEED_MODULUS, LOSSY_SEED_REMAINDER = 5, 3
+"""Seeds with this remainder also lose packets between balancers and agents.  No VM
+counts as disturbed by that: loss alone must not end a flow."""
+LOSS_SECONDS = (1.0, 4.0)
+FLAP_COUNT = 3
+DEGRADED_LINK = LinkFault(delay=0.02, jitter=0.1, loss_share=0.1, duplicate_share=0.2)
+LOSSY_LINK = LinkFault(loss_share=0.5)
+CUT_LINK = LinkFault(blocked=True)
 STORE_FAULTS = ("busy", "reset", "silent", "slow", "lost", "forgotten")
 
 Fault = Callable[[str, float, random.Random], Awaitable[None]]
-"""A host, seconds, and where it draws the rest from."""
+"""Called with a host, a duration in seconds and a random generator."""
 
 
 @define
 class FaultInjector:
-    """Plays faults on one deployment."""
+    """Injects faults into one deployment."""
 
     deployment: Deployment
     seed: int
     balancers: tuple[str, ...]
     agents: dict[str, str]
-    _starting: dict[str, asyncio.Lock] = field(factory=dict)
+    _start_locks: dict[str, asyncio.Lock] = field(factory=dict)
 
-    def list_kinds(self) -> tuple[Fault, ...]:
-        """Return the faults of this run; every third seed has planned steps only,
-        so that no VM counts as disturbed and every reset is judged."""
+    def list_faults(self) -> tuple[Fault, ...]:
+        """Return the faults of this run.
+
+        Every third seed has planned operations only: no VM counts as disturbed, so
+        that every reset is a violation.
+        """
         planned = (
-            self.stop,
-            self.hang_up,
+            self.stop_node,
+            self.reload_settings,
             self.drain_upstream,
             self.change_table,
         )
-        if self.seed % PLANNED_ONLY == 0:
+        if self.seed % PLANNED_ONLY_DIVISOR == 0:
             return planned
-        deaf = (self.deafen_balancer,) * 4
+        lossy = (self.lose_balancer_packets,) * 4
         return (
             *planned,
-            *(deaf if self.seed % DEAF_RUNS == DEAF_REST else ()),
-            self.kill,
-            self.freeze,
+            *(lossy if self.seed % LOSSY_SEED_MODULUS == LOSSY_SEED_REMAINDER else ()),
+            self.kill_node,
+            self.freeze_node,
             self.crash_upstream,
             self.flap_upstream,
             self.replace_upstream,
-            self.disturb_store,
+            self.degrade_store,
             self.cut_link,
             self.cut_node,
-            self.weaken_node,
+            self.degrade_node_links,
             self.reset_connections,
         )
 
-    async def kill(self, host: str, span: float, draw: random.Random) -> None:
-        self.deployment.record_fault(host, span)
+    async def kill_node(
+        self, host: str, duration: float, generator: random.Random
+    ) -> None:
+        self.deployment.record_fault(host, duration)
         await self.deployment.kill(host)
-        await asyncio.sleep(span)
-        await self.ensure(host)
+        await asyncio.sleep(duration)
+        await self.ensure_running(host)
 
-    async def freeze(self, host: str, span: float, draw: random.Random) -> None:
-        self.deployment.record_fault(host, span)
+    async def freeze_node(
+        self, host: str, duration: float, generator: random.Random
+    ) -> None:
+        self.deployment.record_fault(host, duration)
         node = self.deployment.nodes[host]
         node.send_signal(signal.SIGSTOP)
-        await asyncio.sleep(span)
+        await asyncio.sleep(duration)
         node.send_signal(signal.SIGCONT)
 
-    async def stop(self, host: str, span: float, draw: random.Random) -> None:
-        """Ask a node to stop; it starts again when it has ended."""
+    async def stop_node(
+        self, host: str, duration: float, generator: random.Random
+    ) -> None:
+        """Stop a node by SIGTERM and restart it once it has exited."""
         node = self.deployment.nodes[host]
         node.send_signal(signal.SIGTERM)
         if node.process is not None:
             await node.process.wait()
-        await self.ensure(host)
+        await self.ensure_running(host)
 
-    async def hang_up(self, host: str, span: float, draw: random.Random) -> None:
+    async def reload_settings(
+        self, host: str, duration: float, generator: random.Random
+    ) -> None:
         self.deployment.change_settings(host, seeds=[f"{self.balancers[0]}:1"])
         self.deployment.nodes[host].send_signal(signal.SIGHUP)
 
-    async def crash_upstream(self, host: str, span: float, draw: random.Random) -> None:
-        host = draw.choice(list(self.agents))
-        self.deployment.record_fault(host, span)
+    async def crash_upstream(
+        self, host: str, duration: float, generator: random.Random
+    ) -> None:
+        host = generator.choice(list(self.agents))
+        self.deployment.record_fault(host, duration)
         self.deployment.upstreams[host].crash()
-        await asyncio.sleep(span)
+        await asyncio.sleep(duration)
         await self.deployment.start_upstream(host, self.agents[host])
 
-    async def drain_upstream(self, host: str, span: float, draw: random.Random) -> None:
-        host = draw.choice(list(self.agents))
+    async def drain_upstream(
+        self, host: str, duration: float, generator: random.Random
+    ) -> None:
+        host = generator.choice(list(self.agents))
         self.deployment.upstreams[host].state = UpstreamState.DRAINING
-        await asyncio.sleep(span)
+        await asyncio.sleep(duration)
         self.deployment.upstreams[host].state = UpstreamState.READY
 
-    async def flap_upstream(self, host: str, span: float, draw: random.Random) -> None:
-        for _ in range(FLAPS):
-            await self.crash_upstream(host, span / FLAPS, draw)
-            await asyncio.sleep(span / FLAPS)
+    async def flap_upstream(
+        self, host: str, duration: float, generator: random.Random
+    ) -> None:
+        for _ in range(FLAP_COUNT):
+            await self.crash_upstream(host, duration / FLAP_COUNT, generator)
+            await asyncio.sleep(duration / FLAP_COUNT)
 
     async def replace_upstream(
-        self, host: str, span: float, draw: random.Random
+        self, host: str, duration: float, generator: random.Random
     ) -> None:
-        """Have an upstream of the other service take over an address."""
-        host = draw.choice(list(self.agents))
+        """Replace an upstream by one of the other service at the same address."""
+        host = generator.choice(list(self.agents))
         if list(self.agents.values()).count(self.agents[host]) == 1:
             return
-        self.deployment.record_fault(host, span)
-        async with self._get_lock(host):
-            # No other fault may start the old agent beside the new upstream.
+        self.deployment.record_fault(host, duration)
+        async with self._get_start_lock(host):
+            # Keeps other faults from restarting the agent of the replaced upstream.
             self.deployment.upstreams[host].crash()
             await self.deployment.kill(host)
             service = next(s for s in SERVICES if s != self.agents[host])
             self.agents[host] = service
             self.deployment.replace_service(host, service)
-        await asyncio.sleep(span)
+        await asyncio.sleep(duration)
         if not self.deployment.upstreams[host].alive:
             await self.deployment.start_upstream(host, self.agents[host])
-        await self.ensure(host)
+        await self.ensure_running(host)
 
-    async def cut_link(self, host: str, span: float, draw: random.Random) -> None:
-        """Cut one direction between two nodes."""
+    async def cut_link(
+        self, host: str, duration: float, generator: random.Random
+    ) -> None:
+        """Cut the link between two nodes in one direction."""
         others = [*self.agents, *self.balancers, STORE_HOST]
-        other = draw.choice([other for other in others if other != host])
-        await self._break_links([(host, other)], CUT, span)
+        other = generator.choice([other for other in others if other != host])
+        await self._apply_link_fault([(host, other)], CUT_LINK, duration)
 
-    async def cut_node(self, host: str, span: float, draw: random.Random) -> None:
-        """Cut a node off, from all others or only from the store."""
+    async def cut_node(
+        self, host: str, duration: float, generator: random.Random
+    ) -> None:
+        """Cut all links of a node, or only those to the store."""
         others = [*self.agents, *self.balancers, STORE_HOST]
-        if draw.random() < 0.5:
+        if generator.random() < 0.5:
             others = [STORE_HOST]
         links = [link for o in others for link in ((host, o), (o, host))]
-        await self._break_links(links, CUT, span)
+        await self._apply_link_fault(links, CUT_LINK, duration)
 
-    async def weaken_node(self, host: str, span: float, draw: random.Random) -> None:
-        """Delay, lose, double and reorder what goes to and from a node."""
+    async def degrade_node_links(
+        self, host: str, duration: float, generator: random.Random
+    ) -> None:
+        """Delay, lose, duplicate and reorder packets to and from a node."""
         others = [*self.agents, *self.balancers]
         links = [link for o in others for link in ((host, o), (o, host))]
-        await self._break_links(links, WEAK_LINK, span)
+        await self._apply_link_fault(links, DEGRADED_LINK, duration)
 
-    async def deafen_balancer(
-        self, host: str, span: float, draw: random.Random
+    async def lose_balancer_packets(
+        self, host: str, duration: float, generator: random.Random
     ) -> None:
-        """Lose half of what goes between a balancer and the agents."""
-        host = draw.choice(self.balancers)
+        """Lose half of the packets between a balancer and the agents."""
+        host = generator.choice(self.balancers)
         faults = self.get_links().faults
         links = [link for a in self.agents for link in ((host, a), (a, host))]
-        faults.update(dict.fromkeys(links, DEAF_LINK))
-        await asyncio.sleep(draw.uniform(*DEAF_TIME))
+        faults.update(dict.fromkeys(links, LOSSY_LINK))
+        await asyncio.sleep(generator.uniform(*LOSS_SECONDS))
         for link in links:
             faults.pop(link, None)
 
-    async def _break_links(
-        self, links: list[tuple[str, str]], fault: LinkFault, span: float
+    async def _apply_link_fault(
+        self, links: list[tuple[str, str]], fault: LinkFault, duration: float
     ) -> None:
         faults = self.get_links().faults
         for link in links:
             for host in link:
-                self.deployment.record_fault(host, span)
+                self.deployment.record_fault(host, duration)
             faults[link] = fault
-        await asyncio.sleep(span)
+        await asyncio.sleep(duration)
         for link in links:
             faults.pop(link, None)
 
     async def reset_connections(
-        self, host: str, span: float, draw: random.Random
+        self, host: str, duration: float, generator: random.Random
     ) -> None:
         self.deployment.record_fault(host, 0.0)
         self.get_links().reset_connections(host)
@@ -188,9 +211,11 @@
         assert self.deployment.links is not None
         return self.deployment.links
 
-    async def disturb_store(self, host: str, span: float, draw: random.Random) -> None:
+    async def degrade_store(
+        self, host: str, duration: float, generator: random.Random
+    ) -> None:
         faults = self.deployment.store.faults
-        match draw.choice(STORE_FAULTS):
+        match generator.choice(STORE_FAULTS):
             case "slow":
                 faults.delay = 0.3
             case "lost":
@@ -199,17 +224,19 @@
                 self.deployment.store.drop_history()
             case down:
                 faults.failure_mode = down
-        await asyncio.sleep(span)
+        await asyncio.sleep(duration)
         faults.failure_mode, faults.delay, faults.lose_answers = "", 0.0, 0
 
-    async def change_table(self, host: str, span: float, draw: random.Random) -> None:
+    async def change_table(
+        self, host: str, duration: float, generator: random.Random
+    ) -> None:
         self.deployment.write_table()
 
-    def _get_lock(self, host: str) -> asyncio.Lock:
-        return self._starting.setdefault(host, asyncio.Lock())
+    def _get_start_lock(self, host: str) -> asyncio.Lock:
+        return self._start_locks.setdefault(host, asyncio.Lock())
 
-    async def ensure(self, host: str) -> None:
-        """Start a node that has ended; overlapping faults start it only once."""
-        async with self._get_lock(host):
+    async def ensure_running(self, host: str) -> None:
+        """Start a node that has exited, once even if faults overlap."""
+        async with self._get_start_lock(host):
             if not self.deployment.nodes[host].is_running:
                 await self.deployment.restart(host)
--- a/properties/test_datagram_messages.py
+++ b/properties/test_datagram_messages.py
@@ -1,7 +1,7 @@
-"""Any message from any node, in any order, leaves a balancer running.
+"""A balancer handles any series of messages without an error.
 
-Messages come over the network: they name flows twice, flows that nobody asked for and
-nodes that nobody knows, and they come late.  The reducer must take each of them.
+Messages may be late, name a flow twice, or name flows that were not asked about and
+unknown nodes.
 """
 
 from __future__ import annotations
@@ -43,21 +43,19 @@
 HOSTS = ("10.1.0.1", "10.1.0.2", "10.1.0.3", "10.9.9.9")
 CALLERS = tuple((0x64400000 + number, 40_000) for number in range(4))
 SERVICE = (SERVICE_HOST, 443)
-STEPS = 40
+MIN_STEPS = 40
 
 
-def make_caller_packet(caller: tuple[int, int], *, opening: bool) -> Packet:
-    bits = FLAG_BITS[SYN] if opening else FLAG_BITS[ACK]
-    content = b"" if opening else b"request"
+def make_caller_packet(caller: tuple[int, int], *, syn: bool) -> Packet:
+    bits = FLAG_BITS[SYN] if syn else FLAG_BITS[ACK]
+    content = b"" if syn else b"request"
     packet = CODEC.decode_caller(make_packet(caller, SERVICE, bits, payload=content))
     assert packet is not None
     return packet
 
 
 PACKETS = [
-    make_caller_packet(caller, opening=first)
-    for caller in CALLERS
-    for first in (True, False)
+    make_caller_packet(caller, syn=syn) for caller in CALLERS for syn in (True, False)
 ]
 FLOWS = [packet.flow for packet in PACKETS[::2]]
 
@@ -142,15 +140,16 @@
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
-@given(st.lists(steps, min_size=STEPS, max_size=2 * STEPS))
-def test_a_balancer_takes_any_message(series: list) -> None:
+@given(st.lists(steps, min_size=MIN_STEPS, max_size=2 * MIN_STEPS))
+def test_balancer_handles_any_series_of_messages(series: list) -> None:
     simulation = Simulation(services=("dispatcher",))
     for host in HOSTS[:3]:
         simulation.add_agent(host, "dispatcher", knows_all_flows=True)
     state = simulation.add_balancer("10.0.0.1")
     simulation.run(0.1)
     callers = [
-        simulation.add_caller("dispatcher", "10.0.0.1", requests=STEPS) for _ in CALLERS
+        simulation.add_caller("dispatcher", "10.0.0.1", requests=MIN_STEPS)
+        for _ in CALLERS
     ]
     simulation.run(0.05)
     assert {caller.flow for caller in callers} == state.flows.keys() == set(FLOWS)
--- a/properties/test_datagram_world.py
+++ b/properties/test_datagram_world.py
@@ -1,10 +1,9 @@
-"""Random series of faults and planned steps on opaque flows.
+"""Stateful fuzzing of datagram nodes with faults and planned operations.
 
-The nodes are the real reducers in `shedsill.testing.datagram_simulation`.  Callers and
-upstreams raise `OracleError` when a promise is broken: a packet changed, the wrong
-service, or a reset of a flow whose upstream holds it.  All faults here are ones
-through which no living flow may be reset: nodes are away for less time than after
-which they are given up.
+The nodes are the real reducers, run by `shedsill.testing.datagram_simulation`.
+Simulated callers and upstreams raise `OracleError` if a packet is changed or reaches
+the wrong service, or if a flow is reset that its upstream still holds.  Nodes are
+always back before they are declared lost, so that no open flow may be reset.
 """
 
 from __future__ import annotations
@@ -25,21 +24,21 @@
     "10.2.0.1": "intake",
     "10.2.0.2": "intake",
 }
-RESTART_TIME = 0.3
-"""Seconds after which the platform starts a process again."""
+RESTART_SECONDS = 0.3
+"""Time that the platform takes to restart a process."""
 
-LONG_REQUESTS = 12
-"""Requests on a long flow, with pauses between them."""
+REQUESTS_PER_LONG_FLOW = 12
+"""Requests are sent one after another, with pauses."""
 
-REST = 40.0
-"""Seconds after which a series without callers must have left nothing behind."""
+IDLE_SECONDS = 40.0
+"""Time without callers after which all flow state must be gone."""
 
 balancers = st.sampled_from(BALANCERS)
 agents = st.sampled_from(list(AGENTS))
 
 
 class FlowsMachine(RuleBasedStateMachine):
-    """One deployment and what is done to it."""
+    """One deployment under random operations and faults."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -55,9 +54,9 @@
     @rule(
         service=st.sampled_from(SERVICES),
         balancer=balancers,
-        requests=st.sampled_from([1, LONG_REQUESTS]),
+        requests=st.sampled_from([1, REQUESTS_PER_LONG_FLOW]),
     )
-    def call(self, service: str, balancer: str, requests: int) -> None:
+    def start_caller(self, service: str, balancer: str, requests: int) -> None:
         self.simulation.add_caller(service, balancer, requests=requests)
 
     @rule(seconds=st.floats(0.001, 1.5))
@@ -66,7 +65,7 @@
 
     @precondition(lambda self: self.simulation.callers)
     @rule(data=st.data(), balancer=balancers)
-    def remap(self, data: st.DataObject, balancer: str) -> None:
+    def remap_flow(self, data: st.DataObject, balancer: str) -> None:
         flow = data.draw(st.sampled_from(sorted(self.simulation.balancer_by_flow)))
         self.simulation.balancer_by_flow[flow] = balancer
 
@@ -74,7 +73,7 @@
     def restart_balancer(self, host: str) -> None:
         zone = self.simulation.nodes[host].report.zone
         self.simulation.kill(host)
-        self.simulation.run(RESTART_TIME)
+        self.simulation.run(RESTART_SECONDS)
         self.simulation.add_balancer(host, zone=zone)
 
     @rule(hosts=st.sets(agents, min_size=1))
@@ -82,7 +81,7 @@
         zones = {host: self.simulation.nodes[host].report.zone for host in hosts}
         for host in hosts:
             self.simulation.kill(host)
-        self.simulation.run(RESTART_TIME)
+        self.simulation.run(RESTART_SECONDS)
         for host in sorted(hosts):
             self.simulation.add_agent(host, AGENTS[host], zone=zones[host])
 
@@ -92,26 +91,26 @@
         self.simulation.stop(host)
         self.simulation.run(0.1)
         self.simulation.kill(host)
-        self.simulation.run(RESTART_TIME)
+        self.simulation.run(RESTART_SECONDS)
         self.simulation.add_agent(host, AGENTS[host], zone=zone)
 
     @rule()
-    def restart_everything(self) -> None:
+    def restart_all_nodes(self) -> None:
         for host in BALANCERS:
             self.simulation.kill(host)
         self.restart_agents(set(AGENTS))
         for number, host in enumerate(BALANCERS):
             self.simulation.add_balancer(host, zone=f"z{number % 2}")
 
-    @rule(ended=st.sets(agents), dark=st.floats(0.0, 2.0))
-    def lose_power(self, ended: set[str], dark: float) -> None:
-        """End all nodes and some upstreams; those start again with their VMs."""
+    @rule(crashed=st.sets(agents), outage=st.floats(0.0, 2.0))
+    def lose_power(self, crashed: set[str], outage: float) -> None:
+        """Kill all nodes and some upstreams, and restart them after the outage."""
         for host in (*BALANCERS, *AGENTS):
             self.simulation.kill(host)
-        for host in sorted(ended):
+        for host in sorted(crashed):
             self.simulation.crash_upstream(host)
-        self.simulation.run(dark)
-        for host in sorted(ended):
+        self.simulation.run(outage)
+        for host in sorted(crashed):
             self.simulation.start_upstream(host, AGENTS[host])
         for number, host in enumerate(BALANCERS):
             self.simulation.add_balancer(host, zone=f"z{number % 2}")
@@ -119,44 +118,46 @@
             self.simulation.add_agent(host, service, zone=f"z{number % 2}")
 
     @rule(hosts=st.sets(balancers))
-    def rest_watches(self, hosts: set[str]) -> None:
-        """Have only the other balancers hear at once of what the store holds."""
+    def suspend_watches(self, hosts: set[str]) -> None:
+        """Suspend the store watches of some balancers."""
         self.simulation.unwatched_hosts = hosts
 
     @rule(host=agents)
     def restart_upstream(self, host: str) -> None:
         self.simulation.crash_upstream(host)
-        self.simulation.run(RESTART_TIME)
+        self.simulation.run(RESTART_SECONDS)
         self.simulation.start_upstream(host, AGENTS[host])
         self.simulation.send_heartbeat(host)
 
     @rule(host=agents, delay=st.floats(0.0, 1.0))
-    def restart_upstream_unseen(self, host: str, delay: float) -> None:
-        """The new run takes flows before its first heartbeat arrives."""
+    def restart_upstream_before_heartbeat(self, host: str, delay: float) -> None:
+        """Restart an upstream that accepts flows before its first heartbeat arrives."""
         self.simulation.crash_upstream(host)
-        self.simulation.run(RESTART_TIME)
+        self.simulation.run(RESTART_SECONDS)
         self.simulation.start_upstream(host, AGENTS[host])
         for balancer in BALANCERS:
-            self.simulation.add_caller(AGENTS[host], balancer, requests=LONG_REQUESTS)
+            self.simulation.add_caller(
+                AGENTS[host], balancer, requests=REQUESTS_PER_LONG_FLOW
+            )
         self.simulation.run(delay)
         self.simulation.send_heartbeat(host)
 
     @rule(host=balancers, seconds=st.floats(0.1, 5.0), seed=st.integers(0, 99))
-    def deafen_balancer(self, host: str, seconds: float, seed: int) -> None:
-        """Lose most of what it sends and is sent, then less and less of it."""
+    def lose_balancer_packets(self, host: str, seconds: float, seed: int) -> None:
+        """Lose packets to and from a balancer at a decreasing rate."""
         self.simulation.is_lost = losses = PacketLoss(host, 1.0, seed)
         for losses.loss_share in (1.0, 0.6, 0.3):
             self.simulation.run(seconds / 3)
         self.simulation.is_lost = lambda source, to: False
 
     @rule(host=agents, state=st.sampled_from(UpstreamState))
-    def change_state(self, host: str, state: UpstreamState) -> None:
+    def change_upstream_state(self, host: str, state: UpstreamState) -> None:
         if state in (UpstreamState.READY, UpstreamState.DRAINING):
             self.simulation.upstreams[host].state = state
             self.simulation.send_heartbeat(host)
 
     @rule(is_up=st.booleans())
-    def change_store(self, is_up: bool) -> None:
+    def toggle_store(self, is_up: bool) -> None:
         if is_up:
             self.simulation.restore_store()
         self.simulation.store_available = is_up
@@ -167,7 +168,7 @@
         self.simulation.publish_table(table, tuple(sorted(hosts)))
 
     @invariant()
-    def tables_never_go_back(self) -> None:
+    def table_versions_never_decrease(self) -> None:
         newest = self.simulation.table.version
         assert all(
             0 < self.simulation.nodes[host].table.version <= newest
@@ -175,17 +176,17 @@
         )
 
     def teardown(self) -> None:
-        """Once all is well again, new requests are answered and nothing is left."""
-        self.change_store(True)
+        """After recovery, new requests are answered and no flow state is left."""
+        self.toggle_store(True)
         for host in AGENTS:
-            self.change_state(host, UpstreamState.READY)
+            self.change_upstream_state(host, UpstreamState.READY)
         self.simulation.run(5.0)
         callers = [
             self.simulation.add_caller(s, b) for s in SERVICES for b in BALANCERS
         ]
         self.simulation.run(3.0)
         assert {caller.outcome for caller in callers} == {"answered"}
-        self.simulation.run(REST)
+        self.simulation.run(IDLE_SECONDS)
         for host in BALANCERS:
             state = self.simulation.nodes[host]
             assert not (state.flows or state.searches or state.pending_flows)
