--- /dev/null
+++ b/properties/test_known_faults.py
@@ -0,0 +1,42 @@
+"""Series of steps that show a known fault, until it is fixed."""
+
+from __future__ import annotations
+
+from properties.test_datagram_world import FlowsMachine
+from shedsill.datagram._messages import UpstreamState
+
+
+def test_balancer_restarted_in_store_outage_resets_no_live_flow() -> None:
+    """A balancer that got only the last `Roster` message resets a live flow."""
+    machine = FlowsMachine()
+    machine.change_upstream_state(host="10.1.0.2", state=UpstreamState.GONE)
+    machine.start_caller(balancer="10.0.0.2", requests=12, service="dispatcher")
+    machine.toggle_store(is_up=False)
+    machine.restart_balancer(host="10.0.0.1")
+    machine.toggle_store(is_up=False)
+    machine.toggle_store(is_up=True)
+    machine.restart_balancer(host="10.0.0.2")
+    machine.lose_balancer_packets(host="10.0.0.3", seconds=0.99999, seed=80)
+    machine.toggle_store(is_up=True)
+    machine.restart_upstream(host="10.2.0.1")
+    machine.start_caller(balancer="10.0.0.1", requests=12, service="dispatcher")
+    machine.start_caller(balancer="10.0.0.1", requests=12, service="intake")
+    machine.toggle_store(is_up=False)
+    machine.restart_upstream(host="10.2.0.1")
+    machine.lose_balancer_packets(host="10.0.0.3", seconds=0.8558349057326327, seed=11)
+    machine.lose_balancer_packets(host="10.0.0.1", seconds=1.8253654105723485, seed=18)
+    machine.restart_balancer(host="10.0.0.3")
+    machine.start_caller(balancer="10.0.0.3", requests=12, service="dispatcher")
+    machine.restart_balancer(host="10.0.0.2")
+    machine.start_caller(balancer="10.0.0.1", requests=12, service="intake")
+    machine.restart_balancer(host="10.0.0.3")
+    machine.restart_agents(hosts={"10.2.0.2", "10.1.0.1", "10.1.0.2"})
+    machine.restart_agents(hosts={"10.1.0.2", "10.2.0.1", "10.1.0.3"})
+    machine.restart_balancer(host="10.0.0.3")
+    machine.restart_agents(hosts={"10.2.0.2"})
+    machine.change_upstream_state(host="10.1.0.1", state=UpstreamState.UNKNOWN)
+    machine.start_caller(balancer="10.0.0.2", requests=12, service="dispatcher")
+    machine.start_caller(balancer="10.0.0.2", requests=1, service="intake")
+    machine.lose_balancer_packets(host="10.0.0.3", seconds=4.415687551783472, seed=36)
+    machine.toggle_store(is_up=True)
+    machine.teardown()
