--- a/shedsill/testing/datagram_simulation.py
+++ b/shedsill/testing/datagram_simulation.py
@@ -75,7 +75,7 @@
 
 LATENCY_SECONDS = 0.001
 TICK_SECONDS = 0.04
-HEARTBEAT_SECONDS = 1.2
+HEARTBEAT_INTERVAL_SECONDS = 1.2
 WRITE_RETRY_SECONDS = 1.0
 """Longest delay between two attempts of a store write."""
 
@@ -347,7 +347,7 @@
         self.send_heartbeat(host)
         state = self.nodes[host]
         self._schedule(
-            HEARTBEAT_SECONDS,
+            HEARTBEAT_INTERVAL_SECONDS,
             lambda: self.nodes.get(host) is state and self._repeat_heartbeat(host),
         )
 
--- a/shedsill/testing/deployment.py
+++ b/shedsill/testing/deployment.py
@@ -34,7 +34,7 @@
 from shedsill.testing.object_store import ObjectStoreStandIn
 from shedsill.testing.ports import find_ports
 
-HEARTBEAT_SECONDS = 0.3
+HEARTBEAT_INTERVAL_SECONDS = 0.3
 FAULT_RECOVERY_SECONDS = 4.0
 START_TIMEOUT_SECONDS = 20.0
 STOP_TIMEOUT_SECONDS = 20.0
@@ -179,13 +179,15 @@
     ) -> asyncio.DatagramTransport:
         loop = asyncio.get_running_loop()
         transport, _protocol = await loop.create_datagram_endpoint(
-            lambda: _DatagramReceiver(lambda data: self._collect_error(receive, data)),
+            lambda: _DatagramReceiver(
+                lambda data: self._call_and_collect_errors(receive, data)
+            ),
             local_addr=(host, port),
         )
         self._transports.append(transport)
         return transport
 
-    def _collect_error(self, action: Callable, *arguments: object) -> None:
+    def _call_and_collect_errors(self, action: Callable, *arguments: object) -> None:
         """Call a function and collect its assertion errors for the end of the test."""
         try:
             action(*arguments)
@@ -193,7 +195,9 @@
             self.errors.append(error)
 
     def _schedule(self, after: float, action: Callable[[], object]) -> None:
-        asyncio.get_running_loop().call_later(after, self._collect_error, action)
+        asyncio.get_running_loop().call_later(
+            after, self._call_and_collect_errors, action
+        )
 
     # Nodes
 
@@ -375,7 +379,7 @@
             service = self.services[self.upstreams[host].port - FIRST_PORT]
             with contextlib.suppress(aiohttp.ClientError, TimeoutError, OSError):
                 await self.send_heartbeat(host, service)
-            await asyncio.sleep(HEARTBEAT_SECONDS)
+            await asyncio.sleep(HEARTBEAT_INTERVAL_SECONDS)
 
     async def send_heartbeat(self, host: str, service: str) -> int:
         """Send a heartbeat; return the HTTP status, or 0 if the upstream is down."""
--- a/shedsill/testing/flow_endpoints.py
+++ b/shedsill/testing/flow_endpoints.py
@@ -48,7 +48,7 @@
     payload: bytes = b"",
 ) -> bytes:
     """Return a packet between two endpoints, with a valid checksum."""
-    head = struct.pack(
+    header = struct.pack(
         ">B5xHHIHIIII",
         flag_bits,
         len(payload),
@@ -61,7 +61,9 @@
         ack,
     )
     return (
-        head + struct.pack(">I", compute_checksum(head + bytes(4) + payload)) + payload
+        header
+        + struct.pack(">I", compute_checksum(header + bytes(4) + payload))
+        + payload
     )
 
 
--- a/shedsill/testing/http3_simulation.py
+++ b/shedsill/testing/http3_simulation.py
@@ -264,10 +264,10 @@
         return flow
 
     def _send_initial(self, flow: CallerFlow) -> None:
-        head = bytes([0xC0, 0, 0, 0, 1, 8]) + flow.first_cid + bytes([0, 0])
-        rest = MIN_INITIAL_BYTES - len(head) - 2
-        datagram = head + (0x4000 | rest).to_bytes(2, "big")
-        datagram += flow.number.to_bytes(4, "big") + bytes(rest - 4)
+        header = bytes([0xC0, 0, 0, 0, 1, 8]) + flow.first_cid + bytes([0, 0])
+        length = MIN_INITIAL_BYTES - len(header) - 2
+        datagram = header + (0x4000 | length).to_bytes(2, "big")
+        datagram += flow.number.to_bytes(4, "big") + bytes(length - 4)
         self.messages.append(ToBalancer(flow, datagram))
 
     def send_request(
