--- a/shedsill/datagram/_agent.py
+++ b/shedsill/datagram/_agent.py
@@ -46,7 +46,7 @@
 flows, but their balancers learn it later."""
 
 SWEEP_INTERVAL_SECONDS = 0.5
-"""Time between searches for flows to remove."""
+"""Interval between sweeps that remove idle flows."""
 
 
 def start_agent(state: AgentState, now: float) -> None:
--- a/shedsill/datagram/_agent_packets.py
+++ b/shedsill/datagram/_agent_packets.py
@@ -177,8 +177,8 @@
         effects += _report_recovered_flow(state, packet.flow, now)
     flow.phase = Phase.OPEN
     flow.last_packet_at = now
-    # A flow of one request is closed with its answer, and the FIN often arrives
-    # first.  After the caller's FIN it is no answer but closes the other end.
+    # An upstream often closes a flow together with its last answer, and the FIN may
+    # overtake the content.  A FIN that follows the caller's own one is no answer.
     fin_before_answer = packet.flags & FIN and flow.running and not flow.closed
     if packet.flags & (FIN | RST):
         flow.closed = True
--- a/shedsill/datagram/_agent_state.py
+++ b/shedsill/datagram/_agent_state.py
@@ -24,7 +24,7 @@
 from shedsill.datagram._packet import RST, Packet, is_syn
 
 AVERAGE_BUSY_SECONDS = 1.0
-"""Time constant of the moving average of unanswered requests."""
+"""Time constant of the moving average of busy requests."""
 
 RECENT_BALANCER_SECONDS = 10.0
 """A balancer gets announcements for this long after its last packet or message."""
@@ -51,9 +51,10 @@
     taken_at : float or None
         When the upstream first answered on the flow.
     caller_ack : int
-        Sequence number that the caller expects next.
+        Acknowledgement number of the caller's last packet.
     caller_next_seq : int or None
-        Sequence number after the caller's content that was sent to the upstream.
+        Sequence number that follows the last content sent to the upstream; None if
+        there was none.
     pending : bool
         Whether a request has arrived whose answer has not begun.
     running : bool
@@ -244,12 +245,12 @@
 
 
 def update_upstream_state(
-    state: AgentState, upstream: UpstreamState, now: float
+    state: AgentState, upstream_state: UpstreamState, now: float
 ) -> list[Effect]:
     """Set the state of the upstream and publish the report if it changed."""
-    if state.report.state == upstream:
+    if state.report.state == upstream_state:
         return []
-    state.report = replace(state.report, state=upstream)
+    state.report = replace(state.report, state=upstream_state)
     return publish_report(state, now)
 
 
--- a/shedsill/datagram/_backlog.py
+++ b/shedsill/datagram/_backlog.py
@@ -8,8 +8,8 @@
 their deadlines; from then on they are sent first, the earliest deadline before the
 others.  A temporary backlog, as after a restart of the upstreams, therefore delays
 answers but loses none.  Under lasting overload each late request that is served makes
-another one late: after one timeout only one of `SLOTS_PER_LATE_REQUEST` slots goes to
-a late request.
+another one late: once late requests have been queued for longer than the timeout of
+their callers, only one of `SLOTS_PER_LATE_REQUEST` slots goes to a late request.
 
 A request whose caller has closed its end is sent last.  Most such callers have given
 up, but one that has only shut down its sending side still gets its answer.
@@ -29,7 +29,7 @@
 
 LATE_SERVICE_TIME_FACTOR = 2.0
 """A late request is sent this multiple of the mean service time before its deadline:
-about the longest of twenty where the standard deviation is half the mean."""
+about the longest of twenty service times whose standard deviation is half the mean."""
 
 EARLIER_ATTEMPT_SECONDS = 1.5
 """Time that a caller may have spent on an earlier attempt of its request: callers give
@@ -96,7 +96,8 @@
     requests : dict of bytes to QueuedRequest
         Requests by flow.
     late_since : float or None
-        Start of the period in which each choice included a late request.
+        Time since which there has always been a late request in the queue; None if
+        there was none at the last choice.
     fresh_since_late : int
         Fresh requests sent since the last late one.
     syn_lost_at : float or None
@@ -297,7 +298,10 @@
 
 
 def _can_delay_fresh(backlog: Backlog, first: bytes, now: float) -> bool:
-    """Whether late requests may delay fresh ones: for one timeout, then for some slots.
+    """Whether a late request may delay fresh ones.
+
+    It may while late requests have been queued for at most one timeout; afterwards only
+    one of `SLOTS_PER_LATE_REQUEST` slots goes to a late request.
 
     Parameters
     ----------
--- a/shedsill/datagram/_balancer.py
+++ b/shedsill/datagram/_balancer.py
@@ -62,7 +62,7 @@
 """Interval between exchanges of table versions with another balancer."""
 
 REPORTS_PER_MESSAGE = 6
-"""Reports in one message; at about 170 bytes each they fit into a packet."""
+"""Reports in one message; at about 170 bytes each they fit into one datagram."""
 
 FLOW_SWEEP_INTERVAL_SECONDS = 0.25
 """Interval between sweeps that expire idle flows."""
@@ -139,7 +139,7 @@
     view = state.nodes.upstreams.get(event.source)
     if view is None or view.silent_since is None:
         return _handle_message(state, event, returned)
-    before = replace(view)
+    before = replace(view)  # a copy, since the handlers change the view in place
     effects = _handle_message(state, event, returned)
     return effects + _membership.handle_returned_agent(state, before, event.now)
 
@@ -208,7 +208,7 @@
 
 def _handle_packet_returned(
     state: BalancerState,
-    returned: PacketReturned,
+    message: PacketReturned,
     packet: Packet,
     source: str,
     now: float,
@@ -216,12 +216,12 @@
     fields = {
         "flow": packet.flow,
         "upstream": source,
-        "reason": returned.reason.value,
+        "reason": message.reason.value,
     }
-    log = WriteLog(event=LogEvent.PACKET_RETURNED, fields=fields)
-    reason = returned.reason
+    log_entry = WriteLog(event=LogEvent.PACKET_RETURNED, fields=fields)
+    reason = message.reason
     return [
-        log,
+        log_entry,
         *_flow_placement.handle_returned_syn(state, packet, source, reason, now),
     ]
 
@@ -229,24 +229,28 @@
 def _handle_flow_denied(
     state: BalancerState, denied: FlowDenied, source: str, now: float
 ) -> list[Effect]:
-    """Remove a flow that its agent does not hold, and search for it."""
+    """Search for a flow whose recorded agent does not hold it."""
     flow = state.flows.get(denied.flow)
     if flow is not None and source in flow.offered:
         del flow.offered[source]
     if flow is None:
         return _flow_search.handle_search_denial(state, denied.flow, source)
     if flow.host != source and (flow.host or flow.offered):
+        # The flow is assigned or offered to another agent.
         return []
     fields = {
         "flow": denied.flow,
         "upstream": source,
         "reason": denied.reason.value,
     }
-    log = WriteLog(event=LogEvent.FLOW_DENIED, fields=fields)
+    log_entry = WriteLog(event=LogEvent.FLOW_DENIED, fields=fields)
     del state.flows[denied.flow]
     state.pending_flows.pop(denied.flow, None)
     ack = flow.caller_ack
-    return [log, *_flow_search.restart_search(state, denied.flow, source, ack, now)]
+    return [
+        log_entry,
+        *_flow_search.restart_search(state, denied.flow, source, ack, now),
+    ]
 
 
 def handle_table(state: BalancerState, event: TableReceived) -> list[Effect]:
@@ -264,10 +268,10 @@
     state.report = replace(
         state.report, version=event.table.version, serial=state.report.serial + 1
     )
-    log = WriteLog(event=LogEvent.TABLE_APPLIED, fields=fields)
+    log_entry = WriteLog(event=LogEvent.TABLE_APPLIED, fields=fields)
     announcement = Announcement(report=state.report)
     hosts = state.nodes.balancers
-    return [log, *(SendMessage(host, announcement) for host in hosts)]
+    return [log_entry, *(SendMessage(host, announcement) for host in hosts)]
 
 
 def handle_tick(state: BalancerState, event: Tick) -> list[Effect]:
@@ -293,7 +297,7 @@
 def _sweep_flows(state: BalancerState, now: float) -> list[Effect]:
     """Expire idle flows and update the set of agents that hold the others.
 
-    Unverified flows are requested from their agents until these answer.
+    The agents of unverified flows are asked about them until they answer.
     """
     if now < state.next_flow_sweep_at:
         return []
--- a/shedsill/datagram/_balancer_state.py
+++ b/shedsill/datagram/_balancer_state.py
@@ -29,7 +29,8 @@
     started_at : float
         When this balancer first recorded the flow.
     host : str
-        Agent that holds the flow; empty until the caller has chosen one.
+        Agent that holds the flow; empty until the caller has acknowledged the
+        answer of one upstream.
     boot : str
         Upstream boot that accepted the flow, as reported by its agent; empty if
         the agent did not know it.  A new boot may accept flows before its agent
--- a/shedsill/datagram/_checkpoint_collection.py
+++ b/shedsill/datagram/_checkpoint_collection.py
@@ -4,11 +4,14 @@
 answer sends no further packet, so the restarted nodes would never learn of the flow and
 the caller would wait until its deadline.
 
-Each balancer therefore sends its long-lived flows to the collector, which is the live
-balancer with the lowest host, and the collector writes the flows of all balancers to
-one object in the platform's store.  A balancer that restarts after a crash restores the
-flows of its previous incarnation as unverified: it asks their agents and resets the
-flows that these deny.  A flow that its agent holds or is unsure about is kept.
+Each balancer therefore sends its open flows, except short ones, to the collector, which
+is the live balancer with the lowest host.  This list is the balancer's part of the
+checkpoint; it may take several `CheckpointPart` messages.  The collector writes the
+parts of all balancers to one object in the platform's store.
+
+A balancer that restarts after a crash restores the flows of its previous incarnation as
+unverified: it asks their agents and resets the flows that these deny.  A flow that its
+agent holds or is unsure about is kept.
 """
 
 from __future__ import annotations
@@ -55,11 +58,11 @@
 """Time for which a balancer that did not answer is not chosen as collector."""
 
 FLOWS_PER_MESSAGE = 18
-"""Flows in one message; at up to 64 bytes each they fit into a packet."""
+"""Flows in one message; at up to 64 bytes each they fit into one datagram."""
 
 MAX_CHECKPOINT_FLOWS = 4000
-"""Flows in one checkpoint; at about 110 bytes each they fit into a stored value, which
-is limited to 1 MB."""
+"""Flows in one checkpoint, and in the part of one balancer; at about 110 bytes each
+they fit into a stored value, which is limited to 1 MB."""
 
 
 def choose_collector(state: BalancerState, now: float) -> str:
@@ -109,8 +112,8 @@
 
 def _send_part(collector: str, number: int, flows: list[OpenFlow]) -> list[Effect]:
     return [
-        SendMessage(collector, CheckpointPart(number=number, flows=part))
-        for part in split_into_chunks(flows, FLOWS_PER_MESSAGE)
+        SendMessage(collector, CheckpointPart(number=number, flows=chunk))
+        for chunk in split_into_chunks(flows, FLOWS_PER_MESSAGE)
     ]
 
 
@@ -155,8 +158,8 @@
 def _merge_parts(parts: dict[str, Part]) -> dict[str, list[OpenFlow]]:
     """Return each flow once, from the balancer that saw its latest packet.
 
-    After routers have moved a flow, its previous balancer still reports it, but with an
-    outdated acknowledgement number, which a reset needs.
+    After routers have moved a flow to another balancer, the previous one still reports
+    it, but with an outdated acknowledgement number.  A reset needs the latest one.
     """
     latest: dict[bytes, tuple[str, OpenFlow]] = {}
     for host, part in sorted(parts.items()):
@@ -201,6 +204,7 @@
         return []
     for host, flows in event.parts.items():
         if host not in state.checkpoints.parts:
+            # Balancers count from 1, so their next part replaces this one.
             state.checkpoints.parts[host] = Part(0, event.now, flows)
     if not event.at_start:
         return []
--- a/shedsill/datagram/_effects.py
+++ b/shedsill/datagram/_effects.py
@@ -16,7 +16,7 @@
     Attributes
     ----------
     service : int
-        Number of the service that the packet is for, see `hash_service`.
+        Hash of the name of the service that the packet is for, see `hash_service`.
     route : Route or None
         The flow's route in the forwarding table; None if unknown.
     """
--- a/shedsill/datagram/_events.py
+++ b/shedsill/datagram/_events.py
@@ -18,7 +18,7 @@
 
 
 class Tick(Struct, frozen=True, kw_only=True):
-    """A timer event; dispatched every `TICK_INTERVAL_SECONDS` seconds."""
+    """A timer event; see `TICK_INTERVAL_SECONDS` of the runtime."""
 
     now: float
 
@@ -42,7 +42,7 @@
     Attributes
     ----------
     service : int
-        Number of the service that the packet is for, see `hash_service`.
+        Hash of the name of the service that the packet is for, see `hash_service`.
     """
 
     packet: Packet
--- a/shedsill/datagram/_failure_detection.py
+++ b/shedsill/datagram/_failure_detection.py
@@ -245,7 +245,7 @@
 
 
 def has_timed_out(view: UpstreamView, now: float) -> bool:
-    """Whether a silent agent should be given up now."""
+    """Whether a silent agent should be marked as lost now."""
     if view.lost or view.silent_since is None:
         return False
     if is_ending(view):
@@ -288,11 +288,11 @@
 
 
 def restart_silence_timers(views: Iterable[UpstreamView], now: float) -> int:
-    """Restart the timers of silent agents, after messages of this balancer were lost.
+    """Restart the timers of silent agents, after messages were dropped.
 
-    An agent is given up only after a time in which this balancer would have received
-    its messages.  Restarting the timers delays the detection of a failed agent by up to
-    `LOST_AFTER_SECONDS`.
+    An agent is marked as lost only after a time in which this balancer would have
+    received its messages.  Restarting the timers delays the detection of a failed agent
+    by up to `LOST_AFTER_SECONDS`.
 
     Returns
     -------
@@ -306,7 +306,7 @@
 
 
 def is_late_answer(before: UpstreamView, after: UpstreamView) -> bool:
-    """Whether an agent's message shows that earlier probes were lost.
+    """Whether an agent's message shows that earlier probes were dropped.
 
     An agent that was restarted, or had announced its stop, was unavailable itself.
     """
@@ -317,7 +317,7 @@
 
 
 def shift_silence_timers(views: Iterable[UpstreamView], pause: float) -> None:
-    """Exclude a time from silences in which this node itself was paused."""
+    """Exclude a pause of this node from the silence of agents."""
     for view in views:
         if view.silent_since is not None:
             view.silent_since += pause
--- a/shedsill/datagram/_flow_placement.py
+++ b/shedsill/datagram/_flow_placement.py
@@ -120,7 +120,9 @@
 ) -> list[Effect]:
     """Forward a retransmitted SYN to the upstream that answered, or offer it again."""
     flow.last_packet_at = now
-    answered = [host for host, seq in flow.offered.items() if seq is not None]
+    answered = [
+        host for host, initial_seq in flow.offered.items() if initial_seq is not None
+    ]
     host = flow.host or (answered[0] if answered else "")
     if host:
         return [forward_packet(state, host, flow.service, packet)]
@@ -189,6 +191,7 @@
     if flow is None or flow.host or route is None:
         return []
     if flow.offered.get(source, 0) is not None:
+        # The agent was not offered the SYN, or its upstream has answered it.
         return []
     del flow.offered[source]
     flow.refused_by.add(source)
@@ -202,10 +205,10 @@
     for key, flow in list(state.pending_flows.items()):
         if now - flow.offered_at < OFFER_TIMEOUT_SECONDS:
             continue
-        for host, answer in flow.offered.items():
+        for host, initial_seq in flow.offered.items():
             view = state.nodes.upstreams.get(host)
             if (
-                answer is None
+                initial_seq is None
                 and view is not None
                 and view.last_heard_at < flow.offered_at
             ):
--- a/shedsill/datagram/_flow_search.py
+++ b/shedsill/datagram/_flow_search.py
@@ -27,7 +27,7 @@
 
 FLOWS_PER_LOCATE = 80
 """Flows in one `Locate` message; at 14 bytes each, the message and its answer fit into
-a packet of 1,200 bytes."""
+a datagram of 1,200 bytes."""
 
 
 def search_flow(state: BalancerState, packet: Packet, now: float) -> list[Effect]:
@@ -56,7 +56,7 @@
 
 
 def _start_search(
-    state: BalancerState, flow: bytes, caller_ack: int, now: float, excluded: str = ""
+    state: BalancerState, key: bytes, caller_ack: int, now: float, excluded: str = ""
 ) -> Search:
     """Start a search with the agents in this zone; traffic between zones is costly."""
     views = state.nodes.upstreams
@@ -65,38 +65,38 @@
     first_hosts = zone_hosts or hosts
     other_hosts = set(hosts).difference(first_hosts)
     search = _search_state.create_search(caller_ack, first_hosts, other_hosts, now)
-    state.searches[flow] = search
-    _queue_locate(state, flow, first_hosts)
+    state.searches[key] = search
+    _queue_locate(state, key, first_hosts)
     return search
 
 
-def _queue_locate(state: BalancerState, flow: bytes, hosts: Iterable[str]) -> None:
+def _queue_locate(state: BalancerState, key: bytes, hosts: Iterable[str]) -> None:
     for host in hosts:
-        state.pending_locates.setdefault(host, []).append(flow)
+        state.pending_locates.setdefault(host, []).append(key)
 
 
 def _retry_search(
-    state: BalancerState, flow: bytes, search: Search, now: float
+    state: BalancerState, key: bytes, search: Search, now: float
 ) -> list[Effect]:
-    _mark_silent_suspect(state, search, now)
+    _suspect_pending_hosts(state, search, now)
     search.asked_at = now
     if search.phase == SearchPhase.TRYING and search.pending_hosts:
         return _forward_trial_packet(state, search)
     if _search_state.is_denied(search):
         if _report_polling.is_read_pending(state.polling):
-            return conclude_search(state, flow, search)
+            return conclude_search(state, key, search)
         search.pending_hosts = set(_list_live_hosts(state))
     search.pending_hosts |= search.deferred_hosts
     search.deferred_hosts = set()
-    _queue_locate(state, flow, search.pending_hosts)
-    return conclude_search(state, flow, search)
+    _queue_locate(state, key, search.pending_hosts)
+    return conclude_search(state, key, search)
 
 
-def _mark_silent_suspect(state: BalancerState, search: Search, now: float) -> None:
+def _suspect_pending_hosts(state: BalancerState, search: Search, now: float) -> None:
     """Mark agents that have not answered a search as suspect, so that they are probed.
 
-    Agents without flows of this balancer are not probed otherwise, and one that is gone
-    would block every search until its caller gives up.
+    Agents without flows of this balancer are not probed otherwise, and one that has
+    failed would block every search until its caller gives up.
     """
     for host in search.pending_hosts:
         view = state.nodes.upstreams.get(host)
@@ -109,19 +109,19 @@
 ) -> list[Effect]:
     """Handle an agent's answer to `Locate`."""
     effects = _resolve_unverified(state, located, host)
-    for flow in located.held:
-        effects += _handle_found_flow(state, flow, host, located.boot, now)
-    for flow in located.unknown:
-        search = state.searches.get(flow)
+    for key in located.held:
+        effects += _handle_found_flow(state, key, host, located.boot, now)
+    for key in located.unknown:
+        search = state.searches.get(key)
         if search is not None and host in search.pending_hosts:
             search.pending_hosts.discard(host)
-            effects += conclude_search(state, flow, search)
-    for flow in located.unsure:
-        search = state.searches.get(flow)
+            effects += conclude_search(state, key, search)
+    for key in located.unsure:
+        search = state.searches.get(key)
         if search is not None and host in search.pending_hosts:
             search.pending_hosts.discard(host)
             search.unsure_hosts.add(host)
-            effects += conclude_search(state, flow, search)
+            effects += conclude_search(state, key, search)
     return effects
 
 
@@ -156,7 +156,7 @@
             flow.unverified = False
             # A restarted agent may not know its upstream's boot yet.
             flow.boot = located.boot or flow.boot
-    # A flow that was requested twice may be listed twice.
+    # If an agent was asked about a flow twice, its answer may list the flow twice.
     unknown = dict.fromkeys(located.unknown)
     ended = [key for key in unknown if _is_unverified(state, key, host)]
     return reset_flows(state, ended, host, "upstream restarted")
@@ -168,50 +168,50 @@
 
 
 def _handle_found_flow(
-    state: BalancerState, flow: bytes, host: str, boot: str, now: float
+    state: BalancerState, key: bytes, host: str, boot: str, now: float
 ) -> list[Effect]:
     view = state.nodes.upstreams.get(host)
-    search = state.searches.pop(flow, None)
+    search = state.searches.pop(key, None)
     if view is None or search is None:
         return []
     service = view.report.service
-    record = BalancerFlow(
+    flow = BalancerFlow(
         service=service, last_packet_at=now, started_at=now, host=host, boot=boot
     )
-    state.flows[flow] = record
+    state.flows[key] = flow
     state.hosts_with_flows.add(host)
     fields = {
-        "flow": flow,
+        "flow": key,
         "upstream": host,
         "after": round(now - search.started_at, 3),
         "tried": search.tried_count,
     }
     effects: list[Effect] = [WriteLog(event=LogEvent.FLOW_FOUND, fields=fields)]
     for packet in search.packets:
-        record.caller_ack = packet.ack
-        effects.append(forward_packet(state, host, record.service, packet))
+        flow.caller_ack = packet.ack
+        effects.append(forward_packet(state, host, flow.service, packet))
     return effects
 
 
-def conclude_search(state: BalancerState, flow: bytes, search: Search) -> list[Effect]:
+def conclude_search(state: BalancerState, key: bytes, search: Search) -> list[Effect]:
     """Take the next step of a search once no answer is pending."""
     if search.pending_hosts:
         return []
     if search.deferred_hosts:
         search.pending_hosts, search.deferred_hosts = search.deferred_hosts, set()
-        _queue_locate(state, flow, search.pending_hosts)
+        _queue_locate(state, key, search.pending_hosts)
         return []
     if search.unsure_hosts:
-        return _try_next_hosts(state, flow, search)
+        return _try_next_hosts(state, key, search)
     if not _knows_all_agents(state, search.last_packet_at):
         return []
     if not _report_polling.is_recent(state.polling, state.last_tick_at):
         return _report_polling.request_read(state.polling, state.last_tick_at)
-    del state.searches[flow]
-    state.resets[flow] = search.last_packet_at
+    del state.searches[key]
+    state.resets[key] = search.last_packet_at
     views = state.nodes.upstreams.values()
     fields = {
-        "flow": flow,
+        "flow": key,
         "asked": len(views),
         "tried": search.tried_count,
         "after": round(search.last_packet_at - search.started_at, 3),
@@ -219,7 +219,7 @@
         "introduced": state.peers_synced,
     }
     return [
-        ResetFlow(flow, search.caller_ack),
+        ResetFlow(key, search.caller_ack),
         WriteLog(event=LogEvent.FLOW_ORPHANED, fields=fields),
     ]
 
@@ -233,7 +233,7 @@
     return effects
 
 
-def _try_next_hosts(state: BalancerState, flow: bytes, search: Search) -> list[Effect]:
+def _try_next_hosts(state: BalancerState, key: bytes, search: Search) -> list[Effect]:
     """Forward a packet of the flow to the unsure agents most likely to hold it.
 
     The preferred hosts of the flow come first, then the other agents in this
@@ -246,7 +246,7 @@
     reports = [v.report for v in views.values()]
     zone_hosts = {report.host for report in reports if report.zone == zone}
     preferred = list_preferred_hosts(
-        _list_route_reports(state, search), zone=zone, flow=flow
+        _list_route_reports(state, search), zone=zone, flow=key
     )
     for hosts in (preferred, zone_hosts, search.unsure_hosts):
         search.pending_hosts = search.unsure_hosts.intersection(hosts)
@@ -287,27 +287,25 @@
     return effects
 
 
-def handle_search_denial(
-    state: BalancerState, flow: bytes, source: str
-) -> list[Effect]:
+def handle_search_denial(state: BalancerState, key: bytes, source: str) -> list[Effect]:
     """Record that an upstream does not hold a flow that is being searched for."""
-    search = state.searches.get(flow)
+    search = state.searches.get(key)
     if search is None:
         return []
     search.pending_hosts.discard(source)
     search.unsure_hosts.discard(source)
     search.deferred_hosts.discard(source)
-    return conclude_search(state, flow, search)
+    return conclude_search(state, key, search)
 
 
 def restart_search(
-    state: BalancerState, flow: bytes, source: str, caller_ack: int, now: float
+    state: BalancerState, key: bytes, source: str, caller_ack: int, now: float
 ) -> list[Effect]:
     """Search for a flow that its agent does not hold any more."""
-    if flow in state.resets or len(state.searches) >= _search_state.MAX_SEARCHES:
+    if key in state.resets or len(state.searches) >= _search_state.MAX_SEARCHES:
         return []
-    search = _start_search(state, flow, caller_ack, now, excluded=source)
-    return conclude_search(state, flow, search)
+    search = _start_search(state, key, caller_ack, now, excluded=source)
+    return conclude_search(state, key, search)
 
 
 def handle_search_timeouts(state: BalancerState, now: float) -> list[Effect]:
@@ -336,9 +334,9 @@
     }
     state.pending_locates = {}
     return [
-        SendMessage(host, Locate(flows=part))
+        SendMessage(host, Locate(flows=chunk))
         for host, flows in flows_by_host.items()
-        for part in split_into_chunks(flows, FLOWS_PER_LOCATE)
+        for chunk in split_into_chunks(flows, FLOWS_PER_LOCATE)
     ]
 
 
--- a/shedsill/datagram/_forwarding_table.py
+++ b/shedsill/datagram/_forwarding_table.py
@@ -22,7 +22,7 @@
     urgency : int
         Priority among the requests of an upstream; 0 is the highest.
     timeout : float
-        Seconds after which callers give up a request.
+        Seconds after which callers give up a request; 0 if not configured.
     objective : float
         Seconds within which callers expect the answer; 0 if not configured.
     bulk : bool
--- a/shedsill/datagram/_health.py
+++ b/shedsill/datagram/_health.py
@@ -99,18 +99,18 @@
     >>> get_avoidance_left(health, 2.25)
     0.75
     """
-    usual = health.cold if cold else health.warm
-    known = usual.answers >= MIN_SERVICE_TIME_ANSWERS
-    is_quick = known and seconds < QUICK_ANSWER_RATIO * usual.seconds
+    service_time = health.cold if cold else health.warm
+    known = service_time.answers >= MIN_SERVICE_TIME_ANSWERS
+    is_quick = known and seconds < QUICK_ANSWER_RATIO * service_time.seconds
     health.quick_share += (is_quick - health.quick_share) * QUICK_ANSWER_WEIGHT
     if is_quick:
         if health.quick_share < MAX_QUICK_SHARE or now < health.avoided_until:
             return False
         _start_avoidance(health, now)
         return True
-    usual.answers += 1
-    weight = max(SERVICE_TIME_WEIGHT, 1 / usual.answers)
-    usual.seconds += (seconds - usual.seconds) * weight
+    service_time.answers += 1
+    weight = max(SERVICE_TIME_WEIGHT, 1 / service_time.answers)
+    service_time.seconds += (seconds - service_time.seconds) * weight
     return False
 
 
--- a/shedsill/datagram/_membership.py
+++ b/shedsill/datagram/_membership.py
@@ -35,8 +35,8 @@
 """Balancers that a starting balancer asks at a time for the nodes they know."""
 
 OUTAGE_SYNC_INTERVAL_SECONDS = 1.0
-"""Interval between these requests after `SYNC_TIMEOUT_SECONDS`, as long as the store
-has not answered either."""
+"""Interval between requests for the nodes that peers know, after
+`SYNC_TIMEOUT_SECONDS`, as long as the store has not answered either."""
 
 TABLE_PULL_DELAY_SECONDS = 0.4
 """Time to wait for the store to deliver a table that peers already have; if all pulled
@@ -301,7 +301,7 @@
 
 
 def probe_agents(state: BalancerState, now: float) -> list[Effect]:
-    """Probe silent agents, and give up those that do not answer."""
+    """Probe silent agents, and mark those as lost that do not answer."""
     effects: list[Effect] = []
     probe = Probe()
     views = state.nodes.upstreams.values()
@@ -325,7 +325,7 @@
         if _failure_detection.has_timed_out(v, now)
     ]
     for host in lost:
-        effects += _give_up_agent(state, host, state.nodes.upstreams[host], now)
+        effects += _mark_agent_lost(state, host, state.nodes.upstreams[host], now)
     return effects
 
 
@@ -370,10 +370,10 @@
     return [WriteLog(event=LogEvent.BALANCER_ISOLATED, fields=fields)]
 
 
-def _give_up_agent(
+def _mark_agent_lost(
     state: BalancerState, host: str, view: UpstreamView, now: float
 ) -> list[Effect]:
-    """Reset the flows of a silent agent, whose VM is down or cut off."""
+    """Mark a silent agent as lost, since its VM is down or cut off; reset its flows."""
     views = state.nodes.upstreams.values()
     fields = {
         "upstream": host,
@@ -386,5 +386,5 @@
     }
     view.lost = True
     view.lost_at = now
-    log = WriteLog(event=LogEvent.UPSTREAM_LOST, fields=fields)
-    return [log, *_reset_agent_flows(state, host, "agent is silent")]
+    log_entry = WriteLog(event=LogEvent.UPSTREAM_LOST, fields=fields)
+    return [log_entry, *_reset_agent_flows(state, host, "agent is silent")]
--- a/shedsill/datagram/_messages.py
+++ b/shedsill/datagram/_messages.py
@@ -1,9 +1,9 @@
 """Messages between balancers and agents, one per UDP datagram.
 
 A message is one byte for its class and the msgpack encoding of its attributes as an
-array, since names would double its size.  Decoding validates the types.  Frames of the
-HTTP/3 product use pycapnp, which needs too much CPU and memory at the start of a node
-here.
+array, since names would double its size.  Decoding validates the types.  pycapnp,
+which encodes the frames of the HTTP/3 product, needs too much CPU and memory at the
+start of a node.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
     busy : int
         Requests that have arrived at the agent and are not answered.
     average : float
-        Moving average of `busy` over the last second or two.
+        Moving average of `busy`, see `AVERAGE_BUSY_SECONDS` of the agent.
     slots : int
         Requests that the upstream runs concurrently; 0 if unknown.
     flows : int
@@ -116,12 +116,15 @@
 
 
 class Roster(Struct, frozen=True, kw_only=True, array_like=True):
-    """Reports of the nodes that a balancer knows, for one that has just started.
+    """Reports of other nodes.
+
+    A balancer sends those of all nodes that it knows in answer to a `Probe`, and relays
+    that of an agent that starts or leaves.
 
     Attributes
     ----------
     last : bool
-        Whether this is the last of the messages that carry them.
+        Whether this is the last message of an answer; false for a relayed report.
     """
 
     reports: list[NodeReport]
@@ -216,7 +219,7 @@
     host, boot : str
         The agent whose upstream holds the flow, and the boot of the upstream.
     caller_ack : int
-        Sequence number that the caller expects next, by its last packet.
+        Acknowledgement number of the caller's last packet.
     """
 
     flow: bytes
@@ -232,8 +235,8 @@
     Attributes
     ----------
     number : int
-        Number of the list of flows, of which this message is a part; a list with a
-        higher number replaces it.
+        Number of the sender's list of flows, which may take several messages.  A list
+        with another number replaces it.
     """
 
     number: int
@@ -257,6 +260,7 @@
     | CheckpointTaken
 )
 
+# The position of a class is its code on the wire.
 _CLASSES: tuple[type, ...] = (
     Announcement,
     Probe,
--- a/shedsill/datagram/_packet.py
+++ b/shedsill/datagram/_packet.py
@@ -4,6 +4,7 @@
 
 from msgspec import Struct
 
+# Bits of `Packet.flags`.
 SYN = 1
 ACK = 2
 FIN = 4
@@ -18,8 +19,8 @@
 caller's first packets; the platform's limit for resets."""
 
 SYN_COPY_DELAYS_SECONDS = (0.0, 0.2, 0.6)
-"""Delays of the copies of a SYN after the first one, by the number of copies sent
-before; documented by the platform."""
+"""Seconds from a caller's first SYN to each copy, indexed by `Packet.copy`; documented
+by the platform."""
 
 
 class Packet(Struct):
--- a/shedsill/datagram/_report_polling.py
+++ b/shedsill/datagram/_report_polling.py
@@ -16,8 +16,8 @@
 from shedsill.datagram._effects import Effect, ReadReports
 
 MIN_POLL_INTERVAL_SECONDS = 2.0
-"""Time between a change of reports and the next watch, which returns all changes of
-that time in one call."""
+"""Time between a change of reports and the next watch (a call that the store answers
+once something has changed), which returns all changes of that time."""
 
 MAX_POLL_INTERVAL_SECONDS = 16.0
 """The same after several reads without an unknown node; delays only the first flows to
--- a/shedsill/datagram/_runtime/balancer.py
+++ b/shedsill/datagram/_runtime/balancer.py
@@ -75,7 +75,7 @@
 
 RETRY_BACKOFF = Backoff(initial_delay=0.1, max_delay=1.0)
 """Delays between retries while the store is unavailable.  A changed table has to be
-applied within 3 s of its return."""
+applied within 3 s after an outage."""
 
 
 class BalancerNode(Node):
--- a/shedsill/datagram/_runtime/log.py
+++ b/shedsill/datagram/_runtime/log.py
@@ -57,27 +57,27 @@
         self._buffer = bytearray()
         os.set_blocking(descriptor, False)
 
-    def write(self, record: WriteLog, now: float) -> None:
+    def write(self, log_entry: WriteLog, now: float) -> None:
         """Count an event and queue its line."""
-        self.counts[record.event] += 1
-        bucket, allowed = take_token(self._buckets.get(record.event), LINE_RATE, now)
-        self._buckets[record.event] = bucket
+        self.counts[log_entry.event] += 1
+        bucket, allowed = take_token(self._buckets.get(log_entry.event), LINE_RATE, now)
+        self._buckets[log_entry.event] = bucket
         if not allowed or len(self._buffer) > MAX_BUFFER_BYTES:
             self.dropped += 1
             return
-        self._append_line(record)
+        self._append_line(log_entry)
 
-    def _append_line(self, record: WriteLog) -> None:
-        entry = record.event.value
+    def _append_line(self, log_entry: WriteLog) -> None:
+        entry = log_entry.event.value
         line = {
             "time": round(time.time(), 3),
             "node": self.node,
             "level": entry.level.value,
             "event": entry.number,
-            "name": record.event.name.lower(),
-            **record.fields,
+            "name": log_entry.event.name.lower(),
+            **log_entry.fields,
         }
-        flow = record.fields.get("flow")
+        flow = log_entry.fields.get("flow")
         if isinstance(flow, bytes):
             line["flow"] = self.describe_flow(flow)
         self._buffer += msgspec.json.encode(line) + b"\n"
--- a/shedsill/datagram/_runtime/node.py
+++ b/shedsill/datagram/_runtime/node.py
@@ -321,9 +321,9 @@
         target = (self.codec.get_caller_host(flow), self.settings.caller_port)
         self.sockets.send(self._message_socket, data, target)
 
-    def write_log(self, record: WriteLog) -> None:
+    def write_log(self, log_entry: WriteLog) -> None:
         """Count a log event and queue its line."""
-        self.log.write(record, self.now)
+        self.log.write(log_entry, self.now)
 
     def run_in_background(self, coroutine: Coroutine[Any, Any, None]) -> None:
         """Start a task that is cancelled when the node stops."""
--- a/shedsill/datagram/_runtime/reports.py
+++ b/shedsill/datagram/_runtime/reports.py
@@ -27,7 +27,7 @@
 """Kind of the stored objects; there is one for each node, named by its host."""
 
 RETRY_BACKOFF = Backoff(initial_delay=0.1, max_delay=1.0)
-"""Delays between retries; a report has to be stored 2 s after an outage."""
+"""Delays between retries; a report has to be stored within 2 s after an outage."""
 
 FINAL_WRITE_TIMEOUT_SECONDS = 0.5
 """Time for which a planned stop waits for the last write."""
@@ -136,8 +136,10 @@
                     failures += 1
                     if failures == 1:
                         fields = {"reason": reason, "call": "report"}
-                        record = WriteLog(event=LogEvent.PLATFORM_FAILED, fields=fields)
-                        self.write_log(record)
+                        log_entry = WriteLog(
+                            event=LogEvent.PLATFORM_FAILED, fields=fields
+                        )
+                        self.write_log(log_entry)
                     await asyncio.sleep(get_delay(RETRY_BACKOFF, failures))
         self._idle.set()
 
--- a/shedsill/datagram/_selection.py
+++ b/shedsill/datagram/_selection.py
@@ -63,7 +63,7 @@
     recent_offers : list of float
         Times of recently offered flows, see `OFFER_WINDOW_SECONDS`.
     avoided_until : float
-        Until when its agent asks to be avoided, see `Load.avoided`.
+        Until when its agent asks that the upstream be avoided, see `Load.avoided`.
     refused_until : float
         Until when it is avoided because it has refused a flow.
     silent_since : float or None
@@ -77,7 +77,7 @@
     lost : bool
         Whether it was silent for so long that its flows were reset.
     lost_at : float
-        When it was given up.
+        When it was marked as lost.
     confirmed_incarnation : int
         Incarnation last reported by the agent itself; 0 if there is none.
     reported_incarnation : int
--- a/shedsill/datagram/_slots.py
+++ b/shedsill/datagram/_slots.py
@@ -128,6 +128,7 @@
     last = queued.packets[-1]
     end = (last.seq + last.length) % SEQUENCE_SPACE
     if measure_advance(packet.ack, end) > SEQUENCE_SPACE // 2:
+        # The acknowledgement is before the end of the request.
         return []
     flow.caller_next_seq = end
     return drop_request(state, packet.flow, now)
--- a/shedsill/datagram/_upstream.py
+++ b/shedsill/datagram/_upstream.py
@@ -37,7 +37,7 @@
 
 BOOT_SILENCE_SECONDS = 3.0
 """Time without a heartbeat of the current boot after which a later heartbeat of another
-boot is accepted: two and a half intervals of 1.2 s."""
+boot is accepted: two and a half heartbeat intervals of 1.2 s."""
 
 UNANSWERED_LIMIT_SECONDS = 0.4
 """Time without any answer of the upstream after which its port is checked.  It
--- a/shedsill/datagram/adapter.py
+++ b/shedsill/datagram/adapter.py
@@ -103,7 +103,7 @@
         ...
 
     def decode_forwarded(self, data: bytes) -> tuple[Packet, int] | None:
-        """Decode a balancer's packet and the number of its service."""
+        """Decode a balancer's packet and the hash of its service's name."""
         ...
 
     def decode_upstream(self, data: bytes) -> Packet | None:
