--- a/shedsill/datagram/_backlog.py
+++ b/shedsill/datagram/_backlog.py
@@ -169,7 +169,10 @@
 
 
 class LateRequest(Struct, frozen=True, kw_only=True, order=True):
-    """A late request that may be feasible; the least one is excluded first.
+    """A late request that may be feasible.
+
+    The order is that of exclusion: the least urgent first, and among these the earliest
+    deadline.
 
     Attributes
     ----------
--- a/shedsill/datagram/_health.py
+++ b/shedsill/datagram/_health.py
@@ -86,6 +86,8 @@
 
     Parameters
     ----------
+    seconds : float
+        Time from sending the request to its answer.
     cold : bool
         Whether the upstream had not reached its full speed after its start.
 
--- a/shedsill/datagram/_membership.py
+++ b/shedsill/datagram/_membership.py
@@ -237,10 +237,10 @@
 
 
 def _has_left(view: UpstreamView) -> bool:
-    """Whether an agent whose report was deleted has ended.
+    """Whether an agent whose report was removed from the store has ended.
 
-    An agent deletes its report when its upstream leaves, after announcing that.  A
-    report may also have been deleted by a balancer that did not hear from the agent;
+    An agent removes its report when its upstream ends, after announcing that.  A report
+    may also have been removed by a balancer that did not hear from the agent;
     such an agent is lost only once it leaves this balancer's probes unanswered.
     """
     announced = view.suspect and view.report.state == UpstreamState.GONE
@@ -274,7 +274,8 @@
 def remove_lost_agents(state: BalancerState, now: float) -> list[Effect]:
     """Remove agents that were lost long ago, and their reports in the store.
 
-    To save calls, only the balancer with the lowest known host removes reports.
+    To save calls to the store, only the balancer with the lowest known host removes
+    reports.
     """
     effects: list[Effect] = []
     _failure_detection.remove_retired(state.nodes, now)
--- a/shedsill/datagram/_process_pauses.py
+++ b/shedsill/datagram/_process_pauses.py
@@ -9,8 +9,8 @@
 __all__ = ["measure_pause"]
 
 MIN_PAUSE_SECONDS = 0.3
-"""Longer gaps between ticks are pauses: seven ticks, and more than the 0.1 s for which
-a VM out of quota is suspended."""
+"""Longer gaps between ticks are pauses: seven ticks of 40 ms, and more than the
+0.1 s for which a VM out of quota is suspended."""
 
 
 def measure_pause(last_tick_at: float | None, now: float) -> float:
--- a/shedsill/datagram/_search_state.py
+++ b/shedsill/datagram/_search_state.py
@@ -42,9 +42,9 @@
     deferred_hosts : set of str
         Agents that are asked once the others have denied the flow.
     unsure_hosts : set of str
-        Agents that are unsure and have not been sent a packet yet.
+        Agents that are unsure and have not been sent a packet of the flow yet.
     tried_count : int
-        Number of agents that were sent a packet.
+        Number of unsure agents that were sent a packet of the flow.
     asked_at : float
         When agents were last asked.
     last_packet_at : float
