--- a/shedsill/testing/nodes.py
+++ b/shedsill/testing/node_settings.py
@@ -10,11 +10,11 @@
 
 __all__ = ["PORTS", "make_settings"]
 
-PORTS = 4
+NODE_PORT_COUNT = 4
 """Ports that every node needs: packets, messages, other nodes' packets, status."""
 
 
-def make_settings(
+def make_node_settings(
     host: str, role: Role, ports: list[int], **fields: Any
 ) -> NodeSettings:
     """Return the settings of a node on a loopback address.
@@ -26,7 +26,7 @@
     **fields
         Other fields of `NodeSettings`.
     """
-    packets, messages, other, status = ports[:PORTS]
+    packets, messages, other, status = ports[:NODE_PORT_COUNT]
     return NodeSettings(
         name=host,
         role=role,
