--- a/benchmarks/agents.py
+++ b/benchmarks/agents.py
@@ -166,9 +166,9 @@
 
 
 async def _time_paths(cluster: Cluster) -> list[Result]:
-    balanced = await _time_requests(cluster.fronts["intake"])
+    balanced = await _time_requests(cluster.service_addresses["intake"])
     loop = asyncio.get_running_loop()
-    agent = cluster.agents["intake-1"]
+    agent = cluster.agent_addresses["intake-1"]
     transport, _direct = await loop.create_datagram_endpoint(
         lambda: _DirectRelay(agent, 1, 1), local_addr=("127.0.0.1", 0)
     )
@@ -188,6 +188,6 @@
     layout = make_layout("intake", count=1, slots=4)
     with tempfile.TemporaryDirectory() as directory:
         cluster = Cluster((layout,), directory)
-        cluster.extra["upstream"] = ("--work", "0.001")
+        cluster.extra_options["upstream"] = ("--work", "0.001")
         with run_cluster(cluster):
             return asyncio.run(_time_paths(cluster))
--- a/benchmarks/changes.py
+++ b/benchmarks/changes.py
@@ -12,7 +12,7 @@
 
 from benchmarks.results import Result
 from shedsill.testing.client import Response, open_client
-from shedsill.testing.documents import PECAN_BOTTOM
+from shedsill.testing.documents import PECAN_BOTTOM_LAYOUTS
 from shedsill.testing.processes import Cluster, run_cluster
 
 FLOW_COUNT = 40
@@ -38,19 +38,19 @@
                 size, since = self._last_growth.get(index, (-1, now))
                 if len(stream.body) != size:
                     self._last_growth[index] = (len(stream.body), now)
-                elif not stream.cut:
+                elif not stream.is_interrupted:
                     self.longest_silence = max(self.longest_silence, now - since)
             await asyncio.sleep(WATCH_INTERVAL_SECONDS)
 
     def count_broken(self) -> int:
         """Return the number of streams that were cut."""
-        return sum(stream.cut for stream in self.streams)
+        return sum(stream.is_interrupted for stream in self.streams)
 
 
 async def _replace_balancers(cluster: Cluster) -> None:
-    for name, address in cluster.balancers.items():
+    for name, address in cluster.balancer_addresses.items():
         await _withdraw_balancers(cluster, [address.host])
-        cluster.processes[name].send(signal.SIGTERM)
+        cluster.processes[name].send_signal(signal.SIGTERM)
         await asyncio.to_thread(cluster.processes[name].wait)
         cluster.start_balancer(name, address)
         await cluster.wait_ready(name)
@@ -58,7 +58,7 @@
 
 
 async def _drain_upstreams(cluster: Cluster) -> None:
-    names = [n for n, owner in cluster.service_of.items() if owner == SERVICE]
+    names = [n for n, owner in cluster.service_by_upstream.items() if owner == SERVICE]
     for name in names[:3]:
         await asyncio.to_thread(cluster.run_command, "drain", "--no-wait", name)
         await asyncio.sleep(SETTLE_SECONDS / 3)
@@ -72,16 +72,16 @@
 
 async def _kill_balancers(cluster: Cluster) -> None:
     """Kill two of three balancers; the fabric withdraws them a second later."""
-    names = list(cluster.balancers)[:2]
+    names = list(cluster.balancer_addresses)[:2]
     for name in names:
-        cluster.processes[name].send(signal.SIGKILL)
+        cluster.processes[name].send_signal(signal.SIGKILL)
     await asyncio.sleep(1.0)
-    await _withdraw_balancers(cluster, [cluster.balancers[name].host for name in names])
+    await _withdraw_balancers(cluster, [cluster.balancer_addresses[name].host for name in names])
     await asyncio.sleep(SETTLE_SECONDS)
 
 
 async def _withdraw_balancers(cluster: Cluster, hosts: list[str]) -> None:
-    await cluster.fetch(f"{cluster.fabric_url}/balancers", body={"withdrawn": hosts})
+    await cluster.fetch_json(f"{cluster.fabric_url}/balancers", body={"withdrawn": hosts})
 
 
 SCENARIOS = {
@@ -98,9 +98,9 @@
         streams = []
         for _ in range(FLOW_COUNT):
             client = await stack.enter_async_context(
-                open_client(cluster.fronts[SERVICE])
+                open_client(cluster.service_addresses[SERVICE])
             )
-            streams.append(client.open("GET", STREAM_PATH)[1])
+            streams.append(client.send_request("GET", STREAM_PATH)[1])
         await asyncio.sleep(SETTLE_SECONDS)
         for name, run_scenario in SCENARIOS.items():
             watcher = StreamWatcher(streams)
@@ -119,7 +119,7 @@
 def measure_changes() -> list[Result]:
     """Run the scenarios one after another on the same flows."""
     with tempfile.TemporaryDirectory() as directory:
-        cluster = Cluster(PECAN_BOTTOM, directory)
-        cluster.extra["balancer"] = ("--quiet", "0.5")
+        cluster = Cluster(PECAN_BOTTOM_LAYOUTS, directory)
+        cluster.extra_options["balancer"] = ("--quiet", "0.5")
         with run_cluster(cluster):
             return asyncio.run(_measure(cluster))
--- a/benchmarks/cluster.py
+++ b/benchmarks/cluster.py
@@ -9,7 +9,7 @@
 import aiohttp
 
 from benchmarks.results import Result
-from shedsill.testing.documents import PECAN_BOTTOM
+from shedsill.testing.documents import PECAN_BOTTOM_LAYOUTS
 from shedsill.testing.processes import Cluster, run_cluster
 
 IDLE_SECONDS = 10.0
@@ -21,13 +21,13 @@
 def measure_cluster() -> list[Result]:
     """Measure a cluster of 3 balancers and 11 agents."""
     with tempfile.TemporaryDirectory() as directory:
-        cluster = Cluster(PECAN_BOTTOM, directory)
+        cluster = Cluster(PECAN_BOTTOM_LAYOUTS, directory)
         with run_cluster(cluster):
             return asyncio.run(_measure(cluster))
 
 
 async def _measure(cluster: Cluster) -> list[Result]:
-    nodes = {**cluster.balancers, **cluster.agents}
+    nodes = {**cluster.balancer_addresses, **cluster.agent_addresses}
     async with aiohttp.ClientSession() as session:
         before = [await _read_sent_bytes(session, a) for a in nodes.values()]
         start = time.monotonic()
@@ -59,7 +59,7 @@
 
 async def _time_change(session: aiohttp.ClientSession, cluster: Cluster) -> float:
     """Return the seconds from a write until all nodes have its generation."""
-    nodes = [*cluster.balancers.values(), *cluster.agents.values()]
+    nodes = [*cluster.balancer_addresses.values(), *cluster.agent_addresses.values()]
     expected = 1 + max([await _read_generation(session, a) for a in nodes])
     await asyncio.to_thread(cluster.run_command, "rotate-keys", "--no-wait")
     start = time.monotonic()
--- a/benchmarks/datapath.py
+++ b/benchmarks/datapath.py
@@ -29,7 +29,7 @@
 from shedsill.http3._routing import FlowLimits, Router
 from shedsill.http3._runtime.balancer import Balancer, BalancerOptions, BalancerSettings
 from shedsill.http3._runtime.log import EventLog
-from shedsill.testing.ports import find_ports
+from shedsill.testing.ports import get_free_ports
 
 KEYS = KeyRing((bytes(range(32)),))
 DATAGRAM_BYTES = 1200
@@ -211,7 +211,7 @@
 
 
 async def _start_balancer(agent: Address) -> tuple[Balancer, tuple[str, int]]:
-    port, service_port = find_ports(2)
+    port, service_port = get_free_ports(2)
     options = BalancerOptions(
         name="b",
         address=Address("127.0.0.1", port),
--- a/properties/soak.py
+++ b/properties/soak.py
@@ -35,7 +35,7 @@
 from shedsill.datagram._messages import UpstreamState
 from shedsill.testing.deployment import Deployment
 from shedsill.testing.links import Links
-from shedsill.testing.weakened import GUARDS
+from shedsill.testing.mutant_node import MUTATIONS
 
 BALANCER_COUNT = 3
 AGENT_COUNT = 6
@@ -186,9 +186,9 @@
     Parameters
     ----------
     without : str
-        Guard of `shedsill.testing.weakened` to disable.
+        Guard of `shedsill.testing.mutant_node` to disable.
     """
-    program = ("shedsill.testing.weakened", without) if without else NODE_PROGRAM
+    program = ("shedsill.testing.mutant_node", without) if without else NODE_PROGRAM
     folder = pathlib.Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
 
     async def run() -> tuple[list[str], list[str], int]:
@@ -243,7 +243,7 @@
 @click.option(
     "--without",
     default="",
-    type=click.Choice(["", *GUARDS]),
+    type=click.Choice(["", *MUTATIONS]),
     help="Guard to disable, to check that the soak detects it.",
 )
 @click.option("--regressions", is_flag=True, help="Run only seeds that failed before.")
--- a/properties/test_datagram_world.py
+++ b/properties/test_datagram_world.py
@@ -1,7 +1,7 @@
 """Stateful fuzzing of datagram nodes with faults and planned operations.
 
 The nodes are the real reducers, run by `shedsill.testing.datagram_simulation`.
-Simulated callers and upstreams raise `OracleError` if a packet is changed or reaches
+Simulated callers and upstreams raise `InvariantError` if a packet is changed or reaches
 the wrong service, or if a flow is reset that its upstream still holds.  Nodes are
 always back before they are declared lost, so that no open flow may be reset.
 """
--- a/properties/test_world.py
+++ b/properties/test_world.py
@@ -22,7 +22,7 @@
 from shedsill.http3._answers import RequestOutcome
 from shedsill.http3._resources import Action, Change, Upstream, UpstreamSet
 from shedsill.testing.http3_simulation import Simulation
-from shedsill.testing.parts import CallerFlow
+from shedsill.testing.simulation_parts import CallerFlow
 
 EXAMPLE_COUNT = int(os.environ.get("SHEDSILL_FUZZ_EXAMPLES", "40"))
 STEP_COUNT = int(os.environ.get("SHEDSILL_FUZZ_STEPS", "60"))
@@ -86,7 +86,7 @@
         return [
             flow
             for flow in self.simulation.flows
-            if flow.cid and not flow.broken and service in (None, flow.service)
+            if flow.cid and not flow.is_broken and service in (None, flow.service)
         ]
 
     # Callers.
@@ -147,7 +147,7 @@
             for attempt in self.simulation.attempts
             if attempt.outcome == RequestOutcome.NOT_RUN
             and attempt.ticket
-            and self.ticket_by_work.get(attempt.work, ("", ""))[1] == attempt.key
+            and self.ticket_by_work.get(attempt.job, ("", ""))[1] == attempt.key
         ]
         if not refused:
             return
@@ -155,9 +155,9 @@
         service = attempt.flow.service
         flows = self._list_open_flows(service)
         if flows:
-            self.ticket_by_work[attempt.work] = (service, attempt.ticket)
+            self.ticket_by_work[attempt.job] = (service, attempt.ticket)
             flow = flows[index % len(flows)]
-            self.simulation.send_request(flow, attempt.work, key=attempt.ticket)
+            self.simulation.send_request(flow, attempt.job, key=attempt.ticket)
 
     @rule(index=indexes)
     def open_stream(self, index: int) -> None:
@@ -243,7 +243,7 @@
     @rule(name=st.sampled_from(sorted([*BALANCERS, "d1", "d2", "d3", "i1", "i2"])))
     def kill_or_restart_node(self, name: str) -> None:
         self._count_step()
-        if not self.simulation.nodes[name].exited:
+        if not self.simulation.nodes[name].has_exited:
             self.simulation.kill(name)
         elif name in BALANCERS:
             self.simulation.start_balancer(name)
@@ -253,7 +253,7 @@
     @rule(name=st.sampled_from(sorted([*BALANCERS, "d1", "d2", "d3", "i1", "i2"])))
     def freeze_or_thaw_node(self, name: str) -> None:
         self._count_step()
-        if self.simulation.nodes[name].frozen:
+        if self.simulation.nodes[name].is_suspended:
             self.simulation.thaw(name)
         else:
             self.simulation.freeze(name)
--- a/shedsill/_cli/__init__.py
+++ b/shedsill/_cli/__init__.py
@@ -8,7 +8,7 @@
 
 from shedsill import __version__
 from shedsill._cli.daemons import agent, balancer
-from shedsill._cli.exits import EXIT_USAGE
+from shedsill._cli.exit_codes import EXIT_USAGE
 from shedsill._cli.operator import (
     apply,
     delete,
--- a/shedsill/_cli/daemons.py
+++ b/shedsill/_cli/daemons.py
@@ -9,19 +9,19 @@
 
 import click
 
-from shedsill._cli.exits import EXIT_FAILED
+from shedsill._cli.exit_codes import EXIT_FAILED
 from shedsill._cli.settings import (
-    FORMATS,
-    LEVELS,
+    LOG_FORMATS,
+    LOG_LEVELS,
     check_choice,
     check_number,
     check_url,
-    draw_incarnation,
+    generate_incarnation,
     node_options,
-    read_address,
-    read_addresses,
-    read_keys,
-    read_rate,
+    parse_address_setting,
+    parse_address_list,
+    parse_cluster_secrets,
+    parse_rate,
 )
 from shedsill.errors import SettingError
 from shedsill.http3._admission import AdmissionSettings
@@ -43,9 +43,9 @@
 }
 
 
-def _prepare_logging(settings: dict[str, Any]) -> EventLog:
-    level = check_choice("--log-level", settings["log_level"], LEVELS)
-    form = check_choice("--log-format", settings["log_format"], FORMATS)
+def _configure_event_log(settings: dict[str, Any]) -> EventLog:
+    level = check_choice("--log-level", settings["log_level"], LOG_LEVELS)
+    form = check_choice("--log-format", settings["log_format"], LOG_FORMATS)
     sample = check_number("--log-sample", settings["log_sample"], 1, 1_000_000)
     configure_logging(level=level, as_json=form == "json")
     return EventLog(node=settings["name"], level=level, sample=sample)
@@ -86,19 +86,19 @@
 )
 def balancer(**settings: Any) -> None:
     """Run a balancer on an entry VM."""
-    event_log = _prepare_logging(settings)
-    keys = read_keys(settings["cluster_secret"], settings["second_secret"])
+    event_log = _configure_event_log(settings)
+    keys = parse_cluster_secrets(settings["cluster_secret"], settings["second_secret"])
     options = BalancerOptions(
         name=settings["name"],
-        address=read_address("--address", settings["address"]),
-        incarnation=draw_incarnation(),
-        seed_addresses=read_addresses("--peers", settings["peers"]),
+        address=parse_address_setting("--address", settings["address"]),
+        incarnation=generate_incarnation(),
+        seed_addresses=parse_address_list("--peers", settings["peers"]),
         zone=settings["zone"],
         service_host=settings["service_host"],
         lease_time=check_number("--lease-time", settings["lease_time"], 0.2, 3600),
         limits=FlowLimits(
-            per_caller=read_rate("--caller-rate", settings["caller_rate"]),
-            per_service=read_rate("--flow-rate", settings["flow_rate"]),
+            per_caller=parse_rate("--caller-rate", settings["caller_rate"]),
+            per_service=parse_rate("--flow-rate", settings["flow_rate"]),
         ),
         settings=BalancerSettings(
             stop_idle_timeout=check_number("--quiet", settings["quiet"], 0.1, 86_400)
@@ -198,32 +198,32 @@
 )
 def agent(**settings: Any) -> None:
     """Run the agent beside an upstream."""
-    event_log = _prepare_logging(settings)
-    keys = read_keys(settings["cluster_secret"], settings["second_secret"])
+    event_log = _configure_event_log(settings)
+    keys = parse_cluster_secrets(settings["cluster_secret"], settings["second_secret"])
     check_certificate("--certificate", settings["certificate"], settings["private_key"])
     policy = check_choice("--policy", settings["policy"], tuple(POLICIES))
     options = AgentOptions(
         name=settings["name"],
         upstream=settings["upstream"] or settings["name"],
         service=settings["service"],
-        address=read_address("--address", settings["address"]),
-        incarnation=draw_incarnation(),
-        seed_addresses=read_addresses("--peers", settings["peers"]),
+        address=parse_address_setting("--address", settings["address"]),
+        incarnation=generate_incarnation(),
+        seed_addresses=parse_address_list("--peers", settings["peers"]),
         zone=settings["zone"],
         settings=AgentSettings(
-            handshake_rate=read_rate("--handshake-rate", settings["handshake_rate"]),
+            handshake_rate=parse_rate("--handshake-rate", settings["handshake_rate"]),
             slow_start=check_number("--slow-start", settings["slow_start"], 0, 3600),
             drain_limit=check_number(
                 "--drain-limit", settings["drain_limit"], 0, 604_800
             ),
         ),
-        admission=_read_admission(settings),
+        admission=_parse_admission_settings(settings),
         policy=POLICIES[policy],
     )
     platform = HttpPlatform(check_url("--platform", settings["platform"]))
     upstream = UpstreamClient(
         check_url("--upstream-url", settings["upstream_url"]),
-        shed_statuses=_read_statuses(settings["shed_statuses"]),
+        shed_statuses=_parse_statuses(settings["shed_statuses"]),
         load_path=settings["load_path"],
     )
     certificates = CertificateLoader(settings["certificate"], settings["private_key"])
@@ -241,7 +241,7 @@
     sys.exit(asyncio.run(run_daemon(make, platform)))
 
 
-def _read_admission(settings: dict[str, Any]) -> AdmissionSettings:
+def _parse_admission_settings(settings: dict[str, Any]) -> AdmissionSettings:
     return AdmissionSettings(
         cancel_grace=check_number("--cancel-grace", settings["cancel_grace"], 0, 60),
         idle_span=check_number("--idle-span", settings["idle_span"], 0, 3600),
@@ -255,22 +255,22 @@
     )
 
 
-def _read_statuses(text: str) -> frozenset[int]:
+def _parse_statuses(text: str) -> frozenset[int]:
     try:
         return frozenset(int(part) for part in text.split(",") if part.strip())
     except ValueError:
         raise SettingError("--shed-statuses", text, "numbers, with commas") from None
 
 
-async def run_daemon(make: Any, platform: HttpPlatform) -> int:
+async def run_daemon(create_driver: Any, platform: HttpPlatform) -> int:
     """Run a service until its planned stop is complete; return the exit code.
 
     Parameters
     ----------
-    make : callable
+    create_driver : callable
         Makes the service inside the running loop.
     """
-    service = make()
+    service = create_driver()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, service.request_stop)
--- a/shedsill/_cli/writes.py
+++ b/shedsill/_cli/document_writer.py
@@ -19,8 +19,8 @@
 from shedsill.coordination.update import CHANGE_ID_KEY
 from shedsill.http3._resources import Document, encode_spec, get_kind
 
-READ_BACKS = 5
-READ_BACK_PAUSE = 0.3
+MAX_READ_BACKS = 5
+READ_BACK_DELAY_SECONDS = 0.3
 
 
 @frozen(kw_only=True)
@@ -31,28 +31,28 @@
 
 
 @frozen(kw_only=True)
-class Same:
+class Unchanged:
     """The stored resource is already like that."""
 
     version: int
 
 
 @frozen(kw_only=True)
-class Stale:
+class VersionConflict:
     """The edit was made from another version than the one stored."""
 
-    yours: int | None
+    document_version: int | None
     current: StoredObject | None
 
 
 @frozen(kw_only=True)
-class Unwritten:
+class Unconfirmed:
     """The platform gave no answer, and reading back did not settle it."""
 
     reason: str
 
 
-WriteResult = Written | Same | Stale | Unwritten
+WriteResult = Written | Unchanged | VersionConflict | Unconfirmed
 
 
 async def write_document(
@@ -69,14 +69,14 @@
     value = {"spec": encode_spec(document.resource), CHANGE_ID_KEY: change_id}
     read = await client.call(Get(kind=kind, name=name))
     if not isinstance(read, Found):
-        return Unwritten(reason=str(read))
+        return Unconfirmed(reason=str(read))
     current = read.object
     if current is not None and current.value.get("spec") == value["spec"]:
-        return Same(version=current.version)
+        return Unchanged(version=current.version)
     stored = current.version if current else 0
     expected = stored if force else (document.version or 0)
     if expected != stored:
-        return Stale(yours=document.version, current=current)
+        return VersionConflict(document_version=document.version, current=current)
     outcome = await client.call(
         Put(kind=kind, name=name, value=value, expected=expected)
     )
@@ -84,7 +84,7 @@
         case Stored(version=version):
             return Written(version=version)
         case Conflict(current=current):
-            return Stale(yours=document.version, current=current)
+            return VersionConflict(document_version=document.version, current=current)
         case _:
             return await _read_back(client, document, change_id)
 
@@ -93,8 +93,8 @@
     client: Platform, document: Document, change_id: str
 ) -> WriteResult:
     kind, name = get_kind(document.resource), document.resource.name
-    for _ in range(READ_BACKS):
-        await asyncio.sleep(READ_BACK_PAUSE)
+    for _ in range(MAX_READ_BACKS):
+        await asyncio.sleep(READ_BACK_DELAY_SECONDS)
         read = await client.call(Get(kind=kind, name=name))
         if not isinstance(read, Found):
             continue
@@ -103,5 +103,5 @@
             and read.object.value.get(CHANGE_ID_KEY) == change_id
         ):
             return Written(version=read.object.version)
-        return Unwritten(reason="the write has not taken effect")
-    return Unwritten(reason="the platform does not answer; the write is unknown")
+        return Unconfirmed(reason="the write has not taken effect")
+    return Unconfirmed(reason="the platform does not answer; the write is unknown")
--- a/shedsill/_cli/operator.py
+++ b/shedsill/_cli/operator.py
@@ -13,7 +13,7 @@
 import yaml
 
 from shedsill._catalogue import LogEvent
-from shedsill._cli.exits import (
+from shedsill._cli.exit_codes import (
     EXIT_CONFLICT,
     EXIT_FAILED,
     EXIT_OK,
@@ -21,7 +21,7 @@
     EXIT_UNAVAILABLE,
 )
 from shedsill._cli.settings import check_url
-from shedsill._cli.writes import Same, Stale, Unwritten, Written, write_document
+from shedsill._cli.document_writer import Unchanged, VersionConflict, Unconfirmed, Written, write_document
 from shedsill.coordination.backoff import Backoff
 from shedsill.coordination.platform import (
     Conflict,
@@ -64,28 +64,28 @@
 )
 
 
-def run(platform: str, work: Callable[[Platform], Awaitable[int]]) -> None:
+def run_with_platform(platform: str, command: Callable[[Platform], Awaitable[int]]) -> None:
     """Run a command against the platform and exit with its code."""
     url = check_url("--platform", platform)
 
     async def run_with_client() -> int:
         client = HttpPlatform(url)
         try:
-            return await work(client)
+            return await command(client)
         finally:
             await client.close()
 
     sys.exit(asyncio.run(run_with_client()))
 
 
-def _show(value: Any, output: str) -> None:
+def _print_value(value: Any, output: str) -> None:
     if output == "json":
         click.echo(json.dumps(value))
     else:
         click.echo(yaml.safe_dump(value, sort_keys=False).rstrip())
 
 
-def _describe(item: StoredObject, status: StoredObject | None) -> dict[str, Any]:
+def _get_resource_view(item: StoredObject, status: StoredObject | None) -> dict[str, Any]:
     shown = {
         "kind": item.kind,
         "name": item.name,
@@ -126,12 +126,12 @@
     if dry_run:
         for document in documents:
             name = f"{get_kind(document.resource)}/{document.resource.name}"
-            _show({"resource": name, "result": "valid"}, output)
+            _print_value({"resource": name, "result": "valid"}, output)
         sys.exit(EXIT_OK)
 
     async def work(client: Platform) -> int:
         for document in documents:
-            code = await _apply_one(client, document, output, force=force)
+            code = await _apply_document(client, document, output, force=force)
             if code != EXIT_OK:
                 return code
         if not wait:
@@ -144,10 +144,10 @@
                 return code
         return EXIT_OK
 
-    run(platform, work)
+    run_with_platform(platform, work)
 
 
-async def _apply_one(
+async def _apply_document(
     client: Platform, document: Document, output: str, *, force: bool
 ) -> int:
     name = f"{get_kind(document.resource)}/{document.resource.name}"
@@ -155,24 +155,24 @@
     match result:
         case Written(version=version):
             shown = {"resource": name, "result": "written", "version": version}
-            _show(shown, output)
+            _print_value(shown, output)
             return EXIT_OK
-        case Same(version=version):
+        case Unchanged(version=version):
             shown = {"resource": name, "result": "unchanged", "version": version}
-            _show(shown, output)
+            _print_value(shown, output)
             return EXIT_OK
-        case Stale(yours=yours, current=current):
+        case VersionConflict(document_version=yours, current=current):
             shown = {
                 "resource": name,
                 "result": "conflict",
                 "your_version": yours,
                 "your_spec": encode_spec(document.resource),
-                "stored": _describe(current, None) if current else None,
+                "stored": _get_resource_view(current, None) if current else None,
             }
-            _show(shown, output)
+            _print_value(shown, output)
             return EXIT_CONFLICT
-        case Unwritten(reason=reason):
-            _show({"resource": name, "result": "unknown", "reason": reason}, output)
+        case Unconfirmed(reason=reason):
+            _print_value({"resource": name, "result": "unknown", "reason": reason}, output)
             return EXIT_UNAVAILABLE
 
 
@@ -203,7 +203,7 @@
                     continue
                 if found.value != last:
                     last = found.value
-                    _show({"resource": f"{kind}/{name}", **found.value}, output)
+                    _print_value({"resource": f"{kind}/{name}", **found.value}, output)
                 phase = str(found.value.get("phase"))
                 if phase in phases:
                     return EXIT_REJECTED if phase == "rejected" else EXIT_OK
@@ -238,7 +238,7 @@
             return EXIT_UNAVAILABLE
         index = {(o.kind, o.name): o for o in listing.objects}
         found = [
-            _describe(item, index.get((STATUS_KIND, f"{kind}.{item.name}")))
+            _get_resource_view(item, index.get((STATUS_KIND, f"{kind}.{item.name}")))
             for item in listing.objects
             if item.kind == kind and name in (None, item.name)
         ]
@@ -251,7 +251,7 @@
             click.echo(yaml.safe_dump_all(found, sort_keys=False).rstrip())
         return EXIT_OK
 
-    run(platform, work)
+    run_with_platform(platform, work)
 
 
 @click.command()
@@ -277,7 +277,7 @@
             client, document, output, phases=phases, timeout=timeout
         )
 
-    run(platform, work)
+    run_with_platform(platform, work)
 
 
 async def _find_document(client: Platform, kind: str, name: str) -> Document | None:
@@ -323,7 +323,7 @@
                 click.echo(f"shedsill: {outcome}", err=True)
                 return EXIT_UNAVAILABLE
 
-    run(platform, work)
+    run_with_platform(platform, work)
 
 
 def _make_change(action: str, target: str) -> Document:
@@ -335,18 +335,18 @@
     return parse_documents(text)[0]
 
 
-def _start_change(
+def _submit_change(
     platform: str, output: str, document: Document, *, wait: bool, timeout: float
 ) -> None:
     async def work(client: Platform) -> int:
-        code = await _apply_one(client, document, output, force=False)
+        code = await _apply_document(client, document, output, force=False)
         if code != EXIT_OK or not wait:
             return code
         return await follow_resource(
             client, document, output, phases=FINAL_PHASES, timeout=timeout
         )
 
-    run(platform, work)
+    run_with_platform(platform, work)
 
 
 wait_option = click.option("--wait/--no-wait", default=True, show_default=True)
@@ -366,7 +366,7 @@
 ) -> None:
     """Take an upstream out of new work and wait until its flows have ended."""
     document = _make_change("drain", upstream)
-    _start_change(platform, output, document, wait=wait, timeout=timeout)
+    _submit_change(platform, output, document, wait=wait, timeout=timeout)
 
 
 @click.command()
@@ -392,7 +392,7 @@
         click.echo(f"change/{name} deleted")
         return EXIT_OK
 
-    run(platform, work)
+    run_with_platform(platform, work)
 
 
 @click.command("stop-balancer")
@@ -406,7 +406,7 @@
 ) -> None:
     """Stop a balancer once the fabric sends it no more packets."""
     document = _make_change("stop-balancer", balancer)
-    _start_change(platform, output, document, wait=wait, timeout=timeout)
+    _submit_change(platform, output, document, wait=wait, timeout=timeout)
 
 
 @click.command("rotate-keys")
@@ -417,7 +417,7 @@
 def rotate_keys(platform: str, output: str, wait: bool, timeout: float) -> None:
     """Mint connection IDs under the next key; open flows keep theirs."""
     document = _make_change("rotate-keys", "")
-    _start_change(platform, output, document, wait=wait, timeout=timeout)
+    _submit_change(platform, output, document, wait=wait, timeout=timeout)
 
 
 @click.command()
@@ -447,10 +447,10 @@
                 if kind == NODE_KIND
             },
         }
-        _show(shown, output)
+        _print_value(shown, output)
         return EXIT_OK
 
-    run(platform, work)
+    run_with_platform(platform, work)
 
 
 @click.command()
--- a/shedsill/_cli/quickstart.py
+++ b/shedsill/_cli/quickstart.py
@@ -11,15 +11,15 @@
 
 import click
 
-from shedsill._cli.exits import EXIT_FAILED, EXIT_OK
-from shedsill._cli.writes import Written, write_document
+from shedsill._cli.exit_codes import EXIT_FAILED, EXIT_OK
+from shedsill._cli.document_writer import Written, write_document
 from shedsill.http3._resources import parse_documents
 from shedsill.http3._runtime.log import configure_logging
 
 SERVICE = "dispatcher"
 STREAM_PATH = "/stream?interval=0.05"
-SETTLE_TIMEOUT = 20.0
-STREAM_OCTETS = 60
+STATUS_TIMEOUT_SECONDS = 20.0
+STREAM_BYTES = 60
 
 
 @click.command()
@@ -46,15 +46,15 @@
     )
     await system.start()
     try:
-        await _apply(system)
+        await _apply_documents(system)
         if serve:
             return await _serve(system)
-        return await _show(system)
+        return await _run_demonstration(system)
     finally:
         await system.stop()
 
 
-async def _apply(system) -> None:
+async def _apply_documents(system) -> None:
     platform = system.make_platform_client()
     for document in parse_documents(system.documents):
         result = await write_document(platform, document)
@@ -66,12 +66,12 @@
     click.echo(f"accepted  generation {generation}, in force on every node")
 
 
-async def _show(system) -> int:
+async def _run_demonstration(system) -> int:
     from shedsill.testing.client import open_client, wait_for_body
 
     front = system.service_addresses[SERVICE]
     async with open_client(front) as client:
-        stream_id, stream = client.open("GET", STREAM_PATH)
+        stream_id, stream = client.send_request("GET", STREAM_PATH)
         claim = await client.request("POST", "/claim", body=b"job-1")
         click.echo(f"claim     {claim.status} {claim.body.decode().strip()}")
         key = {"idempotency-key": claim.ticket}
@@ -79,17 +79,17 @@
         again = await client.request("POST", "/claim", body=b"job-2", headers=key)
         same = first.body == again.body
         click.echo(f"repeat    same answer, run once: {same}")
-        await wait_for_body(stream, STREAM_OCTETS)
+        await wait_for_body(stream, STREAM_BYTES)
         name = stream.body.split()[0].decode()
         drained = await _drain(system, name)
         before = len(stream.body)
-        await wait_for_body(stream, before + STREAM_OCTETS)
+        await wait_for_body(stream, before + STREAM_BYTES)
         refused = await client.request("POST", "/claim", body=b"job-3")
         click.echo(
-            f"drain     {name}: stream still open: {not stream.cut}; "
+            f"drain     {name}: stream still open: {not stream.is_interrupted}; "
             f"new claim on its connection: {refused.status} {refused.outcome}"
         )
-        survived = not stream.cut
+        survived = not stream.is_interrupted
         client.cancel(stream_id)
     async with open_client(front) as client:
         moved = await client.request("POST", "/claim", body=b"job-3")
@@ -105,17 +105,17 @@
     text += f"{{action: drain, target: {name}}}}}"
     document = parse_documents(text)[0]
     await write_document(system.make_platform_client(), document)
-    return await _wait_for(system, name, "leaving")
+    return await _wait_for_status(system, name, "leaving")
 
 
 async def _wait_drained(system, name: str) -> bool:
-    return await _wait_for(system, name, "drained")
+    return await _wait_for_status(system, name, "drained")
 
 
-async def _wait_for(system, name: str, word: str) -> bool:
+async def _wait_for_status(system, name: str, field: str) -> bool:
     try:
-        async with asyncio.timeout(SETTLE_TIMEOUT):
-            while not system.agents[name].get_status()[word]:
+        async with asyncio.timeout(STATUS_TIMEOUT_SECONDS):
+            while not system.agents[name].get_status()[field]:
                 await asyncio.sleep(0.05)
     except TimeoutError:
         return False
--- a/shedsill/_cli/settings.py
+++ b/shedsill/_cli/settings.py
@@ -14,10 +14,10 @@
 from shedsill.errors import DocumentError, SettingError
 from shedsill.http3._keys import KeyRing, parse_secret
 
-LEVELS = ("TRACE", "DEBUG", "INFO", "WARNING", "ERROR")
-FORMATS = ("text", "json")
-EPOCH = 1_577_836_800
-RANDOM_BITS = 4
+LOG_LEVELS = ("TRACE", "DEBUG", "INFO", "WARNING", "ERROR")
+LOG_FORMATS = ("text", "json")
+INCARNATION_EPOCH_SECONDS = 1_577_836_800
+INCARNATION_RANDOM_BITS = 4
 INCARNATION_LIMIT = 1 << 32
 
 
@@ -67,7 +67,7 @@
     return function
 
 
-def read_address(setting: str, text: str) -> Address:
+def parse_address_setting(setting: str, text: str) -> Address:
     """Read an address; a bad one is a `SettingError`."""
     try:
         return parse_address(text)
@@ -75,13 +75,13 @@
         raise SettingError(setting, error.value, error.allowed) from None
 
 
-def read_addresses(setting: str, text: str) -> tuple[Address, ...]:
+def parse_address_list(setting: str, text: str) -> tuple[Address, ...]:
     """Read addresses separated by commas."""
     parts = [part.strip() for part in text.split(",")]
-    return tuple(read_address(setting, part) for part in parts if part)
+    return tuple(parse_address_setting(setting, part) for part in parts if part)
 
 
-def read_keys(secret: str, second: str) -> KeyRing:
+def parse_cluster_secrets(secret: str, second: str) -> KeyRing:
     """Read the cluster secrets."""
     secrets = [parse_secret("--cluster-secret", secret)]
     if second:
@@ -103,12 +103,12 @@
     return value
 
 
-def read_rate(setting: str, text: str) -> Rate:
+def parse_rate(setting: str, text: str) -> Rate:
     """Read ``PER_SECOND/BURST``.
 
     Examples
     --------
-    >>> read_rate("--x", "50/500")
+    >>> parse_rate("--x", "50/500")
     Rate(per_second=50.0, burst=500.0)
     """
     allowed = "PER_SECOND/BURST, both above 0, such as 50/500"
@@ -129,8 +129,8 @@
     return text
 
 
-def draw_incarnation() -> int:
+def generate_incarnation() -> int:
     """Draw the number of this start: grows with time, differs at each start."""
-    seconds = int(time.time()) - EPOCH
-    drawn = (seconds << RANDOM_BITS) | random.SystemRandom().getrandbits(RANDOM_BITS)
+    seconds = int(time.time()) - INCARNATION_EPOCH_SECONDS
+    drawn = (seconds << INCARNATION_RANDOM_BITS) | random.SystemRandom().getrandbits(INCARNATION_RANDOM_BITS)
     return drawn % INCARNATION_LIMIT
--- a/shedsill/testing/certificates.py
+++ b/shedsill/testing/certificates.py
@@ -10,8 +10,8 @@
 from cryptography.hazmat.primitives.asymmetric import ec
 from cryptography.x509.oid import NameOID
 
-TEST_NAME = "service.example"
-LIFETIME = datetime.timedelta(days=30)
+TEST_HOST_NAME = "service.example"
+VALIDITY = datetime.timedelta(days=30)
 
 
 @frozen(kw_only=True)
@@ -22,10 +22,10 @@
     private_key: str
 
 
-def make_certificate(name: str = TEST_NAME) -> TestCertificate:
+def make_certificate(host_name: str = TEST_HOST_NAME) -> TestCertificate:
     """Make a self-signed certificate."""
     key = ec.generate_private_key(ec.SECP256R1())
-    subject = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, name)])
+    subject = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, host_name)])
     now = datetime.datetime.now(datetime.UTC)
     certificate = (
         x509.CertificateBuilder()
@@ -33,9 +33,9 @@
         .issuer_name(subject)
         .public_key(key.public_key())
         .serial_number(x509.random_serial_number())
-        .not_valid_before(now - LIFETIME)
-        .not_valid_after(now + LIFETIME)
-        .add_extension(x509.SubjectAlternativeName([x509.DNSName(name)]), False)
+        .not_valid_before(now - VALIDITY)
+        .not_valid_after(now + VALIDITY)
+        .add_extension(x509.SubjectAlternativeName([x509.DNSName(host_name)]), False)
         .sign(key, hashes.SHA256())
     )
     return TestCertificate(
--- a/shedsill/testing/check.py
+++ b/shedsill/testing/check.py
@@ -12,13 +12,13 @@
 
 import pytest
 
-KNOWN_RED = "KNOWN-RED.txt"
-MAX_KNOWN_RED = 3
+KNOWN_FAILURES_FILE = "KNOWN-RED.txt"
+MAX_KNOWN_FAILURES = 3
 
 
-def read_known_red(root: pathlib.Path) -> list[str]:
+def read_known_failures(root: pathlib.Path) -> list[str]:
     """Return the lines of the list of known failures."""
-    path = root / KNOWN_RED
+    path = root / KNOWN_FAILURES_FILE
     if not path.exists():
         return []
     return [line for line in path.read_text().splitlines() if line.strip()]
@@ -27,9 +27,9 @@
 def main() -> int:
     """Run the tests; return pytest's exit code."""
     root = pathlib.Path.cwd()
-    known = read_known_red(root)
-    if len(known) > MAX_KNOWN_RED:
-        print(f"{KNOWN_RED} lists {len(known)} tests; at most {MAX_KNOWN_RED}")
+    known = read_known_failures(root)
+    if len(known) > MAX_KNOWN_FAILURES:
+        print(f"{KNOWN_FAILURES_FILE} lists {len(known)} tests; at most {MAX_KNOWN_FAILURES}")
         return 1
     arguments = []
     for line in known:
--- a/shedsill/testing/client.py
+++ b/shedsill/testing/client.py
@@ -25,17 +25,17 @@
 
     Attributes
     ----------
-    whole : bool
+    is_complete : bool
         Whether the end of the answer came.
-    cut : bool
+    is_interrupted : bool
         Whether the stream was reset or the connection ended before.
     """
 
     status: int = 0
     headers: dict[str, str] = field(factory=dict)
     body: bytes = b""
-    whole: bool = False
-    cut: bool = False
+    is_complete: bool = False
+    is_interrupted: bool = False
     lines: deque[bytes] = field(factory=deque)
     changed: asyncio.Event = field(factory=asyncio.Event)
 
@@ -62,15 +62,15 @@
         """Sort an event into its response."""
         if isinstance(event, ConnectionTerminated):
             for response in self.responses.values():
-                response.cut = not response.whole
+                response.is_interrupted = not response.is_complete
                 response.changed.set()
         if isinstance(event, StreamReset) and event.stream_id in self.responses:
-            self.responses[event.stream_id].cut = True
+            self.responses[event.stream_id].is_interrupted = True
             self.responses[event.stream_id].changed.set()
         for http_event in self.http.handle_event(event):
-            self._take(http_event)
+            self._handle_http_event(http_event)
 
-    def _take(self, event: H3Event) -> None:
+    def _handle_http_event(self, event: H3Event) -> None:
         response = self.responses.get(getattr(event, "stream_id", -1))
         if response is None:
             return
@@ -79,20 +79,20 @@
                 for name, value in headers:
                     response.headers[name.decode()] = value.decode()
                 response.status = int(response.headers.get(":status", "0"))
-                response.whole = ended
+                response.is_complete = ended
             case DataReceived(data=data, stream_ended=ended):
                 response.body += data
-                response.whole = ended
+                response.is_complete = ended
         response.changed.set()
 
-    def open(
+    def send_request(
         self,
         method: str,
         path: str,
         *,
         body: bytes = b"",
         headers: dict[str, str] | None = None,
-        ended: bool = True,
+        end_stream: bool = True,
     ) -> tuple[int, Response]:
         """Send a request; return its stream and the answer to come."""
         stream_id = self._quic.get_next_available_stream_id()
@@ -105,9 +105,9 @@
         ]
         for name, value in (headers or {}).items():
             pairs.append((name.encode(), value.encode()))
-        self.http.send_headers(stream_id, pairs, end_stream=ended and not body)
+        self.http.send_headers(stream_id, pairs, end_stream=end_stream and not body)
         if body:
-            self.http.send_data(stream_id, body, end_stream=ended)
+            self.http.send_data(stream_id, body, end_stream=end_stream)
         self.transmit()
         return stream_id, response
 
@@ -121,9 +121,9 @@
         timeout: float = 20.0,
     ) -> Response:
         """Send a request and wait for its whole answer, or its end."""
-        _stream, response = self.open(method, path, body=body, headers=headers)
+        _stream, response = self.send_request(method, path, body=body, headers=headers)
         async with asyncio.timeout(timeout):
-            while not (response.whole or response.cut):
+            while not (response.is_complete or response.is_interrupted):
                 response.changed.clear()
                 await response.changed.wait()
         return response
@@ -136,10 +136,10 @@
         self.transmit()
 
 
-async def wait_for_body(response: Response, octets: int, timeout: float = 20.0) -> None:
+async def wait_for_body(response: Response, min_bytes: int, timeout: float = 20.0) -> None:
     """Wait until an answer has at least this many octets, or has ended."""
     async with asyncio.timeout(timeout):
-        while len(response.body) < octets and not (response.whole or response.cut):
+        while len(response.body) < min_bytes and not (response.is_complete or response.is_interrupted):
             response.changed.clear()
             await response.changed.wait()
 
--- a/shedsill/testing/deployment.py
+++ b/shedsill/testing/deployment.py
@@ -32,7 +32,7 @@
 )
 from shedsill.testing.links import Links, NodePorts
 from shedsill.testing.object_store import ObjectStoreStandIn
-from shedsill.testing.ports import find_ports
+from shedsill.testing.ports import get_free_ports
 
 HEARTBEAT_INTERVAL_SECONDS = 0.3
 FAULT_RECOVERY_SECONDS = 4.0
@@ -122,7 +122,7 @@
     _http: aiohttp.ClientSession | None = None
 
     async def __aenter__(self) -> Deployment:
-        self.ports = dict(zip(PORT_NAMES, find_ports(len(PORT_NAMES)), strict=True))
+        self.ports = dict(zip(PORT_NAMES, get_free_ports(len(PORT_NAMES)), strict=True))
         self._http = aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=1.0))
         self._runner = web.AppRunner(self.store.make_app(), shutdown_timeout=0.1)
         await self._runner.setup()
--- a/shedsill/testing/documents.py
+++ b/shedsill/testing/documents.py
@@ -19,24 +19,24 @@
     queue: int = 64
 
 
-def _name_upstreams(service: str, count: int) -> tuple[str, ...]:
+def _list_upstream_names(service: str, count: int) -> tuple[str, ...]:
     return tuple(f"{service}-{index + 1}" for index in range(count))
 
 
 def make_layout(name: str, *, count: int, slots: int) -> ServiceLayout:
     """Return a layout whose upstreams are numbered from 1."""
-    return ServiceLayout(name=name, upstreams=_name_upstreams(name, count), slots=slots)
+    return ServiceLayout(name=name, upstreams=_list_upstream_names(name, count), slots=slots)
 
 
-PECAN_BOTTOM = (
+PECAN_BOTTOM_LAYOUTS = (
     make_layout("dispatcher", count=7, slots=3),
     make_layout("intake", count=4, slots=3),
 )
-LJUBLJANA = (
+LJUBLJANA_LAYOUTS = (
     make_layout("watchtower", count=7, slots=4),
     make_layout("ledger", count=3, slots=4),
 )
-CLASSES = (
+REQUEST_CLASSES = (
     {"name": "stream", "method": "GET", "path": "/stream", "kind": "stream"},
     {"name": "claim", "method": "POST", "path": "/claim", "deadline": 5.0},
     {"name": "alarm", "method": "POST", "path": "/alarm", "deadline": 5.0},
@@ -66,7 +66,7 @@
             "slots": layout.slots,
             "connections": layout.connections,
             "queue": layout.queue,
-            "classes": [dict(entry) for entry in CLASSES],
+            "classes": [dict(entry) for entry in REQUEST_CLASSES],
         }
         documents.append({"kind": "Service", "name": layout.name, "spec": spec})
         members = [
--- a/shedsill/testing/embedded.py
+++ b/shedsill/testing/embedded.py
@@ -9,7 +9,7 @@
 from attrs import define, field
 
 from shedsill._addresses import Address
-from shedsill._cli.settings import draw_incarnation
+from shedsill._cli.settings import generate_incarnation
 from shedsill.http3._admission import AdmissionSettings
 from shedsill.http3._agent_state import AgentSettings
 from shedsill.http3._balancer import BalancerSettings
@@ -26,7 +26,7 @@
 from shedsill.testing.documents import ServiceLayout, make_documents
 from shedsill.testing.fabric import Fabric
 from shedsill.testing.platform import PlatformStandIn
-from shedsill.testing.ports import find_ports
+from shedsill.testing.ports import get_free_ports
 from shedsill.testing.upstream import UpstreamStandIn, serve_upstream
 
 HOST = "127.0.0.1"
@@ -69,7 +69,7 @@
         """Start all components; resources must be applied separately."""
         names = [name for layout in self.layouts for name in layout.upstreams]
         count = 1 + self.balancer_count + 2 * len(names) + 2 * len(self.layouts)
-        ports = iter(find_ports(count))
+        ports = iter(get_free_ports(count))
         await self._start_platform(next(ports))
         nodes = {
             f"balancer-{index + 1}": Address(f"127.0.1.{index + 1}", next(ports))
@@ -106,7 +106,7 @@
         options = BalancerOptions(
             name=name,
             address=address,
-            incarnation=draw_incarnation(),
+            incarnation=generate_incarnation(),
             seed_addresses=self._seeds,
             service_host=address.host,
             limits=FlowLimits(),
@@ -134,7 +134,7 @@
             upstream=name,
             service=service,
             address=address,
-            incarnation=draw_incarnation(),
+            incarnation=generate_incarnation(),
             seed_addresses=self._seeds,
             settings=AgentSettings(),
             admission=AdmissionSettings(idle_span=IDLE_SPAN_SECONDS),
--- a/shedsill/testing/http3_simulation.py
+++ b/shedsill/testing/http3_simulation.py
@@ -5,7 +5,7 @@
 delivered, dropped or duplicated next, and by how much time advances.  QUIC is
 modeled by its guarantees: each request reaches the agent at most once per flow,
 and lost data is retransmitted on demand.  The invariants in
-`shedsill.testing.oracle` are checked after every step.
+`shedsill.testing.invariants` are checked after every step.
 """
 
 from __future__ import annotations
@@ -55,28 +55,28 @@
     encode_spec,
     get_kind,
 )
-from shedsill.testing.oracle import check_accepted, check_runs, check_slots
-from shedsill.testing.parts import (
-    DATAGRAMS,
+from shedsill.testing.invariants import check_generations, check_claim_runs, check_slot_limits
+from shedsill.testing.simulation_parts import (
+    DATAGRAM_TYPES,
     AgentFlow,
-    Answered,
+    AttemptAnswer,
     Attempt,
     CallerFlow,
-    Cancel,
-    Connected,
+    PendingCancel,
+    FlowAccepted,
     Exchange,
     FakeUpstream,
     FrameMessage,
     HandoverCall,
     Message,
-    OracleError,
+    InvariantError,
     PeerCall,
     PlatformMessage,
-    ProcessFake,
+    FakeProcess,
     PullMessage,
-    Run,
-    ToBalancer,
-    ToCallerMessage,
+    UpstreamRun,
+    CallerDatagram,
+    CallerReply,
 )
 
 KEYS = KeyRing((bytes(range(32)),))
@@ -115,7 +115,7 @@
     now: float = 100.0
     services: dict[str, int] = field(factory=dict)
     messages: list[Message] = field(factory=list)
-    nodes: dict[str, ProcessFake] = field(factory=dict)
+    nodes: dict[str, FakeProcess] = field(factory=dict)
     upstreams: dict[str, FakeUpstream] = field(factory=dict)
     platform: MemoryPlatform = field(factory=MemoryPlatform)
     platform_down: bool = False
@@ -126,7 +126,7 @@
     pending_watches: list[PlatformMessage] = field(factory=list)
     flows: list[CallerFlow] = field(factory=list)
     attempts: list[Attempt] = field(factory=list)
-    payloads: list[Connected | Answered] = field(factory=list)
+    payloads: list[FlowAccepted | AttemptAnswer] = field(factory=list)
     accepted: dict[int, Configuration] = field(factory=dict)
     generator: random.Random = field(factory=random.Random)
     _stale_listing: Listing | None = None
@@ -180,7 +180,7 @@
         )
         lease = Lease(kind="lease", name="acceptor", node=name, time_to_live=3.0)
         state = BalancerState(node=node, keys=KEYS, acceptor=Acceptor(lease=lease))
-        self.nodes[name] = ProcessFake(name=name, address=address, state=state)
+        self.nodes[name] = FakeProcess(name=name, address=address, state=state)
 
     def start_agent(self, name: str) -> None:
         """Start or restart the agent of an upstream."""
@@ -200,7 +200,7 @@
             settings=AgentSettings(slow_start=0.0),
             admission=Admission(settings=AdmissionSettings(idle_span=0.3)),
         )
-        self.nodes[name] = ProcessFake(name=name, address=node.address, state=state)
+        self.nodes[name] = FakeProcess(name=name, address=node.address, state=state)
 
     def take_over_address(self, name: str, service: str, address: Address) -> None:
         """Start an agent of another service at the address of an agent that exited."""
@@ -221,12 +221,12 @@
             if isinstance(process.state, BalancerState)
         )
 
-    def list_balancers(self) -> list[ProcessFake]:
+    def list_balancers(self) -> list[FakeProcess]:
         """Return the running balancers."""
         return [
             process
             for process in self.nodes.values()
-            if isinstance(process.state, BalancerState) and not process.exited
+            if isinstance(process.state, BalancerState) and not process.has_exited
         ]
 
     def apply(self, resource: Resource) -> None:
@@ -268,7 +268,7 @@
         length = MIN_INITIAL_BYTES - len(header) - 2
         datagram = header + (0x4000 | length).to_bytes(2, "big")
         datagram += flow.number.to_bytes(4, "big") + bytes(length - 4)
-        self.messages.append(ToBalancer(flow, datagram))
+        self.messages.append(CallerDatagram(flow, datagram))
 
     def send_request(
         self, flow: CallerFlow, work: str, *, path: str = "/claim", key: str = ""
@@ -277,27 +277,27 @@
         attempt = Attempt(
             number=len(self.attempts),
             flow=flow,
-            work=work,
+            job=work,
             path=path,
             key=key,
-            sent=next(self._sequence),
+            sent_position=next(self._sequence),
         )
         self.attempts.append(attempt)
         flow.attempts.append(attempt)
-        flow.unsent.append(attempt)
+        flow.queued_attempts.append(attempt)
         self._send_attempt(attempt)
         return attempt
 
     def close_flow(self, flow: CallerFlow) -> None:
         """Close a caller's connection and cancel its pending requests."""
-        flow.broken = True
-        flow.unsent.clear()
+        flow.is_broken = True
+        flow.queued_attempts.clear()
         for process in self.nodes.values():
             closing = [f for f in process.flows.values() if f.caller_flow is flow]
             for agent_flow in closing:
                 self._close_agent_flow(process, agent_flow)
 
-    def _close_agent_flow(self, process: ProcessFake, flow: AgentFlow) -> None:
+    def _close_agent_flow(self, process: FakeProcess, flow: AgentFlow) -> None:
         del process.flows[flow.number]
         for exchange in list(process.exchanges.values()):
             if exchange.flow is flow:
@@ -311,8 +311,8 @@
     def cancel_request(self, attempt: Attempt) -> None:
         """Cancel a request; the agent is notified at once."""
         attempt.cancelled = True
-        if attempt in attempt.flow.unsent:
-            attempt.flow.unsent.remove(attempt)
+        if attempt in attempt.flow.queued_attempts:
+            attempt.flow.queued_attempts.remove(attempt)
             attempt.arrived = True
         for process in self.nodes.values():
             for exchange in list(process.exchanges.values()):
@@ -326,18 +326,18 @@
     def _send_attempt(self, attempt: Attempt) -> None:
         flow = attempt.flow
         datagram = bytes([0x40]) + flow.cid + attempt.number.to_bytes(4, "big")
-        self.messages.append(ToBalancer(flow, datagram + bytes(16)))
+        self.messages.append(CallerDatagram(flow, datagram + bytes(16)))
 
     def retransmit(self) -> None:
         """Retransmit all undelivered data in both directions."""
         for flow in self.flows:
-            if not flow.cid and not flow.broken:
+            if not flow.cid and not flow.is_broken:
                 self._send_initial(flow)
-            for attempt in flow.unsent:
-                if flow.cid and not flow.broken:
+            for attempt in flow.queued_attempts:
+                if flow.cid and not flow.is_broken:
                     self._send_attempt(attempt)
         for process in self.nodes.values():
-            if process.frozen or process.exited:
+            if process.is_suspended or process.has_exited:
                 continue
             for flow in process.flows.values():
                 for payload in flow.unacknowledged:
@@ -352,12 +352,12 @@
             return
         message = self.messages.pop(index)
         match message:
-            case ToBalancer():
+            case CallerDatagram():
                 self._deliver_to_balancer(message)
             case FrameMessage(source=source, destination=destination, frame=frame):
                 event = events.FrameReceived(frame=frame, source=source, now=self.now)
                 self._dispatch_at(destination, event)
-            case ToCallerMessage(payload=payload):
+            case CallerReply(payload=payload):
                 self._deliver_to_caller(self.payloads[payload])
             case PlatformMessage():
                 self._call_platform(message)
@@ -402,7 +402,7 @@
     def duplicate_message(self, index: int) -> None:
         """Duplicate a datagram; other messages use streams, which cannot duplicate."""
         message = self.messages[index]
-        if isinstance(message, DATAGRAMS):
+        if isinstance(message, DATAGRAM_TYPES):
             self.messages.append(message)
 
     def settle(self, seconds: float = 0.0, *, step: float = TICK_SECONDS) -> None:
@@ -413,7 +413,7 @@
             if self.now >= end:
                 return
             self.advance(step)
-        raise OracleError(f"time did not reach {end} within {MAX_SETTLE_STEPS} steps")
+        raise InvariantError(f"time did not reach {end} within {MAX_SETTLE_STEPS} steps")
 
     def _deliver_all(self) -> None:
         """Deliver until no message is in flight; raise if that never happens."""
@@ -422,7 +422,7 @@
                 return
             self.deliver_message(0)
         kinds = sorted({type(message).__name__ for message in self.messages})
-        raise OracleError(
+        raise InvariantError(
             f"messages remain after {MAX_DELIVERIES} deliveries: "
             f"{kinds} {self.messages[:4]}"
         )
@@ -431,11 +431,11 @@
         """Advance time; upstreams notice closed connections and nodes tick."""
         self.now += seconds
         for upstream in self.upstreams.values():
-            due = [c.run for c in upstream.cancels if c.due <= self.now]
-            upstream.cancels = [c for c in upstream.cancels if c.due > self.now]
+            due = [c.run for c in upstream.pending_cancels if c.due_at <= self.now]
+            upstream.pending_cancels = [c for c in upstream.pending_cancels if c.due_at > self.now]
             for run in due:
-                run.cancelled = run.running
-                run.running = False
+                run.cancelled = run.is_running
+                run.is_running = False
         pending, self.pending_watches = self.pending_watches, []
         self.messages += pending
         for process in list(self.nodes.values()):
@@ -444,29 +444,29 @@
             self._tick(process, events.Tick(now=self.now, seed=seed))
         self.check_invariants()
 
-    def _tick(self, process: ProcessFake, tick: events.Tick) -> None:
-        if not process.frozen:
+    def _tick(self, process: FakeProcess, tick: events.Tick) -> None:
+        if not process.is_suspended:
             self.dispatch(process.name, tick)
 
-    def _read_load(self, process: ProcessFake) -> None:
+    def _read_load(self, process: FakeProcess) -> None:
         upstream = self.upstreams.get(process.name)
-        if upstream is None or process.frozen:
+        if upstream is None or process.is_suspended:
             return
-        busy = 0 if upstream.lies_idle else len(upstream.list_running())
+        busy = 0 if upstream.reports_idle else len(upstream.list_running())
         self.dispatch(process.name, events.UpstreamLoadRead(busy=busy, now=self.now))
 
     def dispatch(self, name: str, event: Event) -> None:
         """Deliver an event to a node, or queue it while the node is frozen."""
         process = self.nodes.get(name)
-        if process is None or process.exited:
+        if process is None or process.has_exited:
             return
-        if process.frozen:
+        if process.is_suspended:
             process.inbox.append(event)
             return
         process.state, emitted = reduce(process.state, event)
         generation = process.state.node.configuration.generation
         if generation < process.highest_generation:
-            raise OracleError(
+            raise InvariantError(
                 f"{name} went from generation {process.highest_generation} "
                 f"back to {generation}"
             )
@@ -485,29 +485,29 @@
     def kill(self, name: str) -> None:
         """Kill a process; its connections break."""
         process = self.nodes[name]
-        process.exited = True
+        process.has_exited = True
         upstream = self.upstreams.get(name)
         if upstream is not None:
-            self._cancel_runs(upstream, [r for r in upstream.journal if r.running])
+            self._cancel_runs(upstream, [r for r in upstream.journal if r.is_running])
         for flow in process.flows.values():
-            flow.caller_flow.broken = True
+            flow.caller_flow.is_broken = True
         for exchange in process.exchanges.values():
             if exchange.peer is not None:
                 self._fail_peer_call(exchange.peer, not_accepted=False)
         process.exchanges.clear()
 
-    def _cancel_runs(self, upstream: FakeUpstream, runs: list[Run]) -> None:
+    def _cancel_runs(self, upstream: FakeUpstream, runs: list[UpstreamRun]) -> None:
         due = self.now + self.cancel_delay
-        upstream.cancels += [Cancel(run, due) for run in runs]
+        upstream.pending_cancels += [PendingCancel(run, due) for run in runs]
 
     def freeze(self, name: str) -> None:
         """Suspend a process."""
-        self.nodes[name].frozen = True
+        self.nodes[name].is_suspended = True
 
     def thaw(self, name: str) -> None:
         """Resume a process and deliver the events it missed, at the current time."""
         process = self.nodes[name]
-        process.frozen = False
+        process.is_suspended = False
         inbox, process.inbox = process.inbox, []
         for event in inbox:
             if hasattr(event, "now"):
@@ -521,17 +521,17 @@
     # Upstreams
 
     def finish_run(
-        self, run: Run, *, answered: bool = True, shed: bool = False
+        self, run: UpstreamRun, *, answered: bool = True, shed: bool = False
     ) -> None:
         """Finish a run, with a complete answer or a failure."""
-        run.running = False
+        run.is_running = False
         run.shed = shed
         process = self.nodes.get(run.agent)
         if process is None or process.state.node.incarnation != run.incarnation:
             return
         seed = self.generator.getrandbits(16)
         if answered:
-            body = f"done {run.attempt.work}".encode()
+            body = f"done {run.attempt.job}".encode()
             answer = RecordedAnswer(status=503 if shed else 200, headers=(), body=body)
             event: Event = events.UpstreamAnswered(
                 request=run.request, answer=answer, shed=shed, now=self.now, seed=seed
@@ -542,25 +542,25 @@
             )
         self.dispatch(run.agent, event)
 
-    def list_running(self) -> list[Run]:
+    def list_running(self) -> list[UpstreamRun]:
         """Return all runs in progress."""
         return [
             run
             for upstream in self.upstreams.values()
             for run in upstream.journal
-            if run.running
+            if run.is_running
         ]
 
     # Effects
 
-    def _execute(self, process: ProcessFake, effect: Effect) -> None:
+    def _execute(self, process: FakeProcess, effect: Effect) -> None:
         match effect:
             case effects.Send(destination=destination, frame=frame):
                 message = FrameMessage(process.address, destination, frame)
                 self.messages.append(message)
             case effects.SendToCaller(datagram=datagram):
                 payload = int.from_bytes(datagram[:4], "big")
-                self.messages.append(ToCallerMessage(payload))
+                self.messages.append(CallerReply(payload))
             case effects.Deliver():
                 self._deliver_to_agent(process, effect)
             case effects.MoveReplyPath(old=old, new=new):
@@ -590,12 +590,12 @@
             case _:
                 self._execute_for_request(process, effect)
 
-    def _exit_process(self, process: ProcessFake) -> None:
+    def _exit_process(self, process: FakeProcess) -> None:
         if any(flow.caller_flow.attempts for flow in process.flows.values()):
-            raise OracleError(f"{process.name} exited with open flows")
-        process.exited = True
+            raise InvariantError(f"{process.name} exited with open flows")
+        process.has_exited = True
 
-    def _execute_for_request(self, process: ProcessFake, effect: Effect) -> None:
+    def _execute_for_request(self, process: FakeProcess, effect: Effect) -> None:
         exchange = process.exchanges.get(getattr(effect, "request", -1))
         if exchange is None:
             return
@@ -609,7 +609,7 @@
                     run
                     for run in upstream.journal
                     if (run.request, run.incarnation) == (request, incarnation)
-                    and run.running
+                    and run.is_running
                 ]
                 self._cancel_runs(upstream, aborted)
             case effects.SendAnswer(answer=answer, ticket=ticket, outcome=outcome):
@@ -634,26 +634,26 @@
                 assert exchange.peer is not None
                 self._fail_peer_call(exchange.peer, not_accepted=True)
 
-    def _start_run(self, process: ProcessFake, exchange: Exchange) -> None:
+    def _start_run(self, process: FakeProcess, exchange: Exchange) -> None:
         upstream = self.upstreams[process.name]
         attempt = exchange.attempt
-        run = Run(
+        run = UpstreamRun(
             attempt=attempt,
             agent=process.name,
             incarnation=process.state.node.incarnation,
             request=exchange.number,
-            started=self.now,
+            started_at=self.now,
         )
         upstream.journal.append(run)
         if attempt.flow.service != upstream.service:
-            raise OracleError(
-                f"{attempt.work} for {attempt.flow.service} ran on an upstream of "
+            raise InvariantError(
+                f"{attempt.job} for {attempt.flow.service} ran on an upstream of "
                 f"{upstream.service}"
             )
 
     def _send_answer(
         self,
-        process: ProcessFake,
+        process: FakeProcess,
         exchange: Exchange,
         outcome: RequestOutcome,
         body: bytes,
@@ -661,10 +661,10 @@
         retry_after: int,
     ) -> None:
         process.exchanges.pop(exchange.number, None)
-        answered = Answered(exchange.attempt, outcome, body, ticket, retry_after)
+        answered = AttemptAnswer(exchange.attempt, outcome, body, ticket, retry_after)
         if exchange.peer is not None:
             exchange.peer.answer = answered
-            exchange.peer.returning = True
+            exchange.peer.is_reply = True
             self.messages.append(exchange.peer)
             return
         assert exchange.flow is not None
@@ -672,7 +672,7 @@
         self._send_payload(process, exchange.flow, answered)
 
     def _send_payload(
-        self, process: ProcessFake, flow: AgentFlow, payload: Connected | Answered
+        self, process: FakeProcess, flow: AgentFlow, payload: FlowAccepted | AttemptAnswer
     ) -> None:
         assert isinstance(process.state, AgentState)
         self.payloads.append(payload)
@@ -688,7 +688,7 @@
 
     # Delivery
 
-    def _deliver_to_balancer(self, message: ToBalancer) -> None:
+    def _deliver_to_balancer(self, message: CallerDatagram) -> None:
         live = [process for process in self.list_balancers()]
         if not live:
             return
@@ -711,7 +711,7 @@
         )
         self.dispatch(process.name, event)
 
-    def _deliver_to_agent(self, process: ProcessFake, effect: effects.Deliver) -> None:
+    def _deliver_to_agent(self, process: FakeProcess, effect: effects.Deliver) -> None:
         packet = read_packet_header(effect.datagram)
         assert packet is not None
         self._check_route(process, packet.cid)
@@ -724,17 +724,17 @@
             return
         self._open_agent_flow(process, effect, packet.cid)
 
-    def _check_route(self, process: ProcessFake, cid: bytes) -> None:
+    def _check_route(self, process: FakeProcess, cid: bytes) -> None:
         """Check that a packet reached the service and incarnation in its ID."""
         assert isinstance(process.state, AgentState)
         state = process.state
         for route in KEYS.decode_connection_id(cid):
             foreign = route.service != state.service
             if foreign or route.incarnation != state.incarnation:
-                raise OracleError(f"{process.name} received a packet for {route}")
+                raise InvariantError(f"{process.name} received a packet for {route}")
 
     def _open_agent_flow(
-        self, process: ProcessFake, effect: effects.Deliver, first_cid: bytes
+        self, process: FakeProcess, effect: effects.Deliver, first_cid: bytes
     ) -> None:
         assert isinstance(process.state, AgentState)
         state = process.state
@@ -745,19 +745,19 @@
             nonce=self.generator.randbytes(6),
         )
         flow = AgentFlow(
-            number=next(process.numbers),
+            number=next(process.sequence),
             caller_flow=caller_flow,
             cid=cid,
             reply_to=effect.reply_to,
         )
         process.flows[flow.number] = flow
         self.dispatch(process.name, events.FlowOpened(flow=flow.number, now=self.now))
-        connected = Connected(caller_flow, cid, process.name)
+        connected = FlowAccepted(caller_flow, cid, process.name)
         flow.unacknowledged.append(connected)
         self._send_payload(process, flow, connected)
 
     def _receive_packet(
-        self, process: ProcessFake, flow: AgentFlow, datagram: bytes, cid: bytes
+        self, process: FakeProcess, flow: AgentFlow, datagram: bytes, cid: bytes
     ) -> None:
         if cid != flow.cid:
             return
@@ -767,13 +767,13 @@
         if attempt.arrived:
             return
         attempt.arrived = True
-        if attempt in attempt.flow.unsent:
-            attempt.flow.unsent.remove(attempt)
-        exchange = Exchange(next(process.numbers), attempt, flow=flow)
+        if attempt in attempt.flow.queued_attempts:
+            attempt.flow.queued_attempts.remove(attempt)
+        exchange = Exchange(next(process.sequence), attempt, flow=flow)
         self._dispatch_request(process, exchange, flow.number, number)
 
     def _dispatch_request(
-        self, process: ProcessFake, exchange: Exchange, flow: int, stream: int
+        self, process: FakeProcess, exchange: Exchange, flow: int, stream: int
     ) -> None:
         attempt = exchange.attempt
         process.exchanges[exchange.number] = exchange
@@ -787,21 +787,21 @@
                 method=method,
                 path=attempt.path,
                 key=attempt.key,
-                fingerprint=attempt.work.encode(),
+                fingerprint=attempt.job.encode(),
                 body_complete=True,
                 now=self.now,
                 seed=self.generator.getrandbits(16),
             ),
         )
 
-    def _deliver_to_caller(self, payload: Connected | Answered) -> None:
+    def _deliver_to_caller(self, payload: FlowAccepted | AttemptAnswer) -> None:
         match payload:
-            case Connected(flow=flow, cid=cid, agent=agent):
+            case FlowAccepted(flow=flow, cid=cid, agent=agent):
                 if flow.cid not in (b"", cid):
                     return
                 flow.cid = cid
                 flow.agent = agent
-            case Answered(attempt=attempt):
+            case AttemptAnswer(attempt=attempt):
                 if attempt.outcome is None:
                     self._receive_answer(payload)
         for process in self.nodes.values():
@@ -809,18 +809,18 @@
                 if payload in agent_flow.unacknowledged:
                     agent_flow.unacknowledged.remove(payload)
 
-    def _receive_answer(self, payload: Answered) -> None:
+    def _receive_answer(self, payload: AttemptAnswer) -> None:
         attempt = payload.attempt
         attempt.outcome = payload.outcome
-        attempt.answered = next(self._sequence)
+        attempt.answered_position = next(self._sequence)
         attempt.body = payload.body
         attempt.ticket = payload.ticket
         attempt.retry_after = payload.retry_after
         if payload.outcome == RequestOutcome.DONE:
-            expected = f"done {attempt.work}".encode()
+            expected = f"done {attempt.job}".encode()
             if payload.body != expected:
-                raise OracleError(
-                    f"{attempt.work} was answered with {payload.body!r}, "
+                raise InvariantError(
+                    f"{attempt.job} was answered with {payload.body!r}, "
                     f"expected {expected!r}"
                 )
 
@@ -836,7 +836,7 @@
             )
         outcome = self.platform.apply(message.call)
         if isinstance(message.call, Watch) and isinstance(outcome, Changed):
-            expired = self.now - message.asked > message.call.patience
+            expired = self.now - message.sent_at > message.call.patience
             if not outcome.names and not expired:
                 self.pending_watches.append(message)
                 return
@@ -854,7 +854,7 @@
 
     def _answer_platform(self, message: PlatformMessage, outcome) -> None:
         process = self.nodes.get(message.node)
-        if process is None or process.exited:
+        if process is None or process.has_exited:
             return
         self.dispatch(
             message.node,
@@ -868,7 +868,7 @@
 
     def _answer_pull(self, message: PullMessage) -> None:
         for process in self.nodes.values():
-            reachable = not (process.exited or process.frozen)
+            reachable = not (process.has_exited or process.is_suspended)
             if process.address == message.peer and reachable:
                 offered = events.ConfigurationOffered(
                     configuration=process.state.node.configuration, now=self.now
@@ -878,13 +878,13 @@
         self.dispatch(message.node, events.PullFailed(peer=message.peer))
 
     def _deliver_peer_call(self, message: PeerCall) -> None:
-        if message.returning:
+        if message.is_reply:
             self._return_peer_call(message)
             return
         for process in self.nodes.values():
-            if process.address == message.peer and not process.exited:
+            if process.address == message.peer and not process.has_exited:
                 exchange = Exchange(
-                    next(process.numbers), message.attempt, peer=message
+                    next(process.sequence), message.attempt, peer=message
                 )
                 self._dispatch_request(process, exchange, -1, -1)
                 return
@@ -923,13 +923,13 @@
         process = self.nodes.get(message.node)
         return (
             process is not None
-            and not process.exited
+            and not process.has_exited
             and message.request in process.exchanges
             and process.state.node.incarnation == message.incarnation
         )
 
     def _deliver_handover(self, message: HandoverCall) -> None:
-        if message.returning:
+        if message.is_reply:
             done = events.HandoverDone(accepted=True, now=self.now)
             self.dispatch(message.node, done)
             return
@@ -938,22 +938,22 @@
         )
         decoded = decode_handover(KEYS, encode_handover(KEYS, handover))
         for process in self.nodes.values():
-            alive = not (process.exited or process.frozen)
+            alive = not (process.has_exited or process.is_suspended)
             if process.address == message.peer and alive:
                 received = events.HandoverReceived(
                     transfers=decoded.transfers, now=self.now
                 )
                 self.dispatch(process.name, received)
-                message.returning = True
+                message.is_reply = True
                 self.messages.append(message)
                 return
         self.dispatch(message.node, events.HandoverDone(accepted=False, now=self.now))
 
     def check_invariants(self) -> None:
-        """Raise `OracleError` if an invariant is violated."""
-        check_slots(self.upstreams.values())
-        check_runs(self.upstreams.values(), self.attempts)
-        check_accepted(self.nodes.values(), self.accepted)
+        """Raise `InvariantError` if an invariant is violated."""
+        check_slot_limits(self.upstreams.values())
+        check_claim_runs(self.upstreams.values(), self.attempts)
+        check_generations(self.nodes.values(), self.accepted)
 
     def clear_faults(self) -> None:
         """Clear all faults, restart exited processes and finish all requests."""
@@ -962,9 +962,9 @@
         self.platform.machines = ()
         self.partitioned_nodes.clear()
         for name, process in list(self.nodes.items()):
-            if process.frozen:
+            if process.is_suspended:
                 self.thaw(name)
-            if not process.exited:
+            if not process.has_exited:
                 continue
             if isinstance(process.state, BalancerState):
                 self.start_balancer(name)
@@ -986,12 +986,12 @@
         for attempt in self.attempts:
             waiting = attempt.outcome is None and not attempt.cancelled
             waiting = waiting and attempt.path != "/stream"
-            if waiting and not attempt.flow.broken:
-                raise OracleError(f"{attempt.work} was never answered")
+            if waiting and not attempt.flow.is_broken:
+                raise InvariantError(f"{attempt.job} was never answered")
         generations = {
             process.state.node.configuration.generation
             for process in self.nodes.values()
-            if not process.exited
+            if not process.has_exited
         }
         if len(generations) != 1:
-            raise OracleError(f"nodes disagree on the generation: {generations}")
+            raise InvariantError(f"nodes disagree on the generation: {generations}")
--- a/shedsill/testing/links.py
+++ b/shedsill/testing/links.py
@@ -15,7 +15,7 @@
 
 from attrs import define, field, frozen
 
-from shedsill.testing.ports import find_ports
+from shedsill.testing.ports import get_free_ports
 
 CHUNK_BYTES = 65_536
 POLL_SECONDS = 0.05
@@ -89,7 +89,7 @@
         """Open the proxies between a new node and all others; return its ports."""
         if host in self.ports:
             return self.ports[host]
-        ports = NodePorts(*find_ports(2))
+        ports = NodePorts(*get_free_ports(2))
         sender = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         sender.setblocking(False)
         sender.bind((host, 0))
@@ -122,7 +122,7 @@
 
     async def open_stream(self, link: Link, host: str, target: tuple) -> int:
         """Open a proxy for TCP connections to a target; return its port."""
-        (port,) = find_ports(1)
+        (port,) = get_free_ports(1)
 
         async def relay_connection(
             reader: asyncio.StreamReader, writer: asyncio.StreamWriter
--- a/shedsill/testing/weakened.py
+++ b/shedsill/testing/mutant_node.py
@@ -1,6 +1,6 @@
 """Nodes with one guard taken out, to show that the soak can fail.
 
-``python -m shedsill.testing.weakened GUARD balancer|agent`` runs a node as
+``python -m shedsill.testing.mutant_node GUARD balancer|agent`` runs a node as
 ``python -m shedsill.platform`` does, without the guard.  Nothing else uses it.
 """
 
@@ -18,7 +18,7 @@
 from shedsill.platform.node import main
 
 
-def change_content() -> None:
+def corrupt_payloads() -> None:
     """Write a wrong octet into each packet for an upstream."""
     encode = packets.HeaderCodec.encode_for_upstream
 
@@ -29,7 +29,7 @@
     packets.HeaderCodec.encode_for_upstream = encode_wrongly
 
 
-def mix_services() -> None:
+def ignore_services() -> None:
     """Offer openings to upstreams of any service, and have agents take them."""
 
     def offer_any(nodes, _service: str) -> list:
@@ -37,10 +37,10 @@
 
     Nodes.list_service_upstreams = offer_any
     _agent_packets.hash_service = lambda _service: 0
-    packets.SERVICE = _ZeroService()
+    packets.SERVICE = _ZeroServiceCodec()
 
 
-class _ZeroService:
+class _ZeroServiceCodec:
     """Stands for the struct that packs a service's number."""
 
     def pack(self, _number: int) -> bytes:
@@ -50,7 +50,7 @@
         return (0,)
 
 
-def deny_flows() -> None:
+def deny_earlier_flows() -> None:
     """Have a restarted agent deny every flow of before."""
     start = _agent.start_agent
 
@@ -68,20 +68,20 @@
         _balancer.handle_table = lambda _state, _event: []
 
 
-def break_sweep() -> None:
+def break_flow_expiry() -> None:
     """Have agents end when they first forget a flow."""
     _agent.CLOSED_FLOW_SECONDS = None
     _agent.HALF_OPEN_TIMEOUT_SECONDS = "soon"
 
 
-GUARDS: dict[str, Callable[[], None]] = {
-    "content": change_content,
-    "service": mix_services,
-    "living-flows": deny_flows,
+MUTATIONS: dict[str, Callable[[], None]] = {
+    "content": corrupt_payloads,
+    "service": ignore_services,
+    "living-flows": deny_earlier_flows,
     "recovery": ignore_tables,
-    "processes": break_sweep,
+    "processes": break_flow_expiry,
 }
 
 if __name__ == "__main__":
-    GUARDS[sys.argv.pop(1)]()
+    MUTATIONS[sys.argv.pop(1)]()
     sys.exit(main())
--- a/shedsill/testing/nodes.py
+++ b/shedsill/testing/node_settings.py
@@ -8,13 +8,13 @@
 from shedsill.datagram._messages import Role
 from shedsill.datagram.adapter import NodeSettings
 
-__all__ = ["PORTS", "make_settings"]
+__all__ = ["NODE_PORT_COUNT", "make_node_settings"]
 
-PORTS = 4
+NODE_PORT_COUNT = 4
 """Ports that every node needs: packets, messages, other nodes' packets, status."""
 
 
-def make_settings(
+def make_node_settings(
     host: str, role: Role, ports: list[int], **fields: Any
 ) -> NodeSettings:
     """Return the settings of a node on a loopback address.
@@ -22,11 +22,11 @@
     Parameters
     ----------
     ports : list of int
-        At least `PORTS` free ones.
+        At least `NODE_PORT_COUNT` free ones.
     **fields
         Other fields of `NodeSettings`.
     """
-    packets, messages, other, status = ports[:PORTS]
+    packets, messages, other, status = ports[:NODE_PORT_COUNT]
     return NodeSettings(
         name=host,
         role=role,
--- a/shedsill/testing/ports.py
+++ b/shedsill/testing/ports.py
@@ -14,20 +14,20 @@
 
 WORKER_VARIABLE = "PYTEST_XDIST_WORKER"
 WORKER_PREFIX = "gw"
-FIRST_PORT = 10_000
+FIRST_WORKER_PORT = 10_000
 PORTS_PER_WORKER = 800
 MAX_WORKERS = 12
-FREE_FIRST = FIRST_PORT + PORTS_PER_WORKER * MAX_WORKERS
-FREE_COUNT = 12_000
-_steps = itertools.count()
+FIRST_SHARED_PORT = FIRST_WORKER_PORT + PORTS_PER_WORKER * MAX_WORKERS
+SHARED_PORT_COUNT = 12_000
+_port_offsets = itertools.count()
 
 
-def find_ports(count: int) -> list[int]:
+def get_free_ports(count: int) -> list[int]:
     """Return free loopback ports, for UDP and TCP alike."""
     first, length = _get_range()
     ports: list[int] = []
     for _ in range(length):
-        port = first + next(_steps) % length
+        port = first + next(_port_offsets) % length
         if _is_free(port):
             ports.append(port)
         if len(ports) == count:
@@ -39,9 +39,9 @@
     worker = os.environ.get(WORKER_VARIABLE, "")
     if worker.startswith(WORKER_PREFIX):
         index = int(worker.removeprefix(WORKER_PREFIX)) % MAX_WORKERS
-        return FIRST_PORT + index * PORTS_PER_WORKER, PORTS_PER_WORKER
-    offset = os.getpid() * 64 % (FREE_COUNT - PORTS_PER_WORKER)
-    return FREE_FIRST + offset, PORTS_PER_WORKER
+        return FIRST_WORKER_PORT + index * PORTS_PER_WORKER, PORTS_PER_WORKER
+    offset = os.getpid() * 64 % (SHARED_PORT_COUNT - PORTS_PER_WORKER)
+    return FIRST_SHARED_PORT + offset, PORTS_PER_WORKER
 
 
 def _is_free(port: int) -> bool:
--- a/shedsill/testing/processes.py
+++ b/shedsill/testing/processes.py
@@ -21,11 +21,11 @@
 from shedsill._addresses import Address
 from shedsill.testing.certificates import TestCertificate, make_certificate
 from shedsill.testing.documents import ServiceLayout, make_documents
-from shedsill.testing.ports import find_ports
+from shedsill.testing.ports import get_free_ports
 
 SECRET = "5e" * 32
-START_TIMEOUT = 30.0
-STOP_TIMEOUT = 15.0
+START_TIMEOUT_SECONDS = 30.0
+STOP_TIMEOUT_SECONDS = 15.0
 
 
 @define
@@ -36,12 +36,12 @@
     handle: subprocess.Popen
     log: Any
 
-    def send(self, number: int) -> None:
+    def send_signal(self, signal_number: int) -> None:
         """Send a signal to this process alone."""
         if self.handle.poll() is None:
-            os.kill(self.handle.pid, number)
+            os.kill(self.handle.pid, signal_number)
 
-    def wait(self, timeout: float = STOP_TIMEOUT) -> int:
+    def wait(self, timeout: float = STOP_TIMEOUT_SECONDS) -> int:
         """Wait for the process to end; return its exit code."""
         return self.handle.wait(timeout)
 
@@ -54,59 +54,59 @@
     ----------
     layouts : tuple of ServiceLayout
         Services with their upstreams.
-    fronts : dict of str to Address
+    service_addresses : dict of str to Address
         Where callers reach each service, at the fabric.
     """
 
     layouts: tuple[ServiceLayout, ...]
     directory: str
     balancer_count: int = 3
-    extra: dict[str, tuple[str, ...]] = field(factory=dict)
+    extra_options: dict[str, tuple[str, ...]] = field(factory=dict)
     processes: dict[str, Process] = field(factory=dict)
     platform_url: str = ""
     fabric_url: str = ""
-    fronts: dict[str, Address] = field(factory=dict)
-    balancers: dict[str, Address] = field(factory=dict)
-    agents: dict[str, Address] = field(factory=dict)
+    service_addresses: dict[str, Address] = field(factory=dict)
+    balancer_addresses: dict[str, Address] = field(factory=dict)
+    agent_addresses: dict[str, Address] = field(factory=dict)
     upstream_urls: dict[str, str] = field(factory=dict)
-    service_of: dict[str, str] = field(factory=dict)
+    service_by_upstream: dict[str, str] = field(factory=dict)
     documents: str = ""
     certificate: TestCertificate | None = None
     _service_ports: dict[str, int] = field(factory=dict)
 
     def start(self) -> None:
         """Start everything and wait until it can serve."""
-        self._lay_out()
+        self._assign_addresses()
         self._start_platform()
-        for name, address in self.balancers.items():
+        for name, address in self.balancer_addresses.items():
             self.start_balancer(name, address)
-        for name in self.agents:
+        for name in self.agent_addresses:
             self.start_upstream(name)
             self.start_agent(name)
         self._start_fabric()
-        self.run_command("apply", "-f", self._write("documents.yaml", self.documents))
+        self.run_command("apply", "-f", self._write_file("documents.yaml", self.documents))
         asyncio.run(self.wait_ready())
 
-    def _lay_out(self) -> None:
+    def _assign_addresses(self) -> None:
         names = [u for layout in self.layouts for u in layout.upstreams]
         count = 2 + self.balancer_count + 2 * len(names) + 2 * len(self.layouts)
-        ports = iter(find_ports(count))
+        ports = iter(get_free_ports(count))
         self.platform_url = f"http://127.0.0.1:{next(ports)}"
         self.fabric_url = f"http://127.0.0.1:{next(ports)}"
         for index in range(self.balancer_count):
             host = f"127.0.1.{index + 1}"
-            self.balancers[f"balancer-{index + 1}"] = Address(host, next(ports))
+            self.balancer_addresses[f"balancer-{index + 1}"] = Address(host, next(ports))
         for layout in self.layouts:
             self._service_ports[layout.name] = next(ports)
-            self.fronts[layout.name] = Address("127.0.0.1", next(ports))
+            self.service_addresses[layout.name] = Address("127.0.0.1", next(ports))
             for name in layout.upstreams:
-                self.service_of[name] = layout.name
-                self.agents[name] = Address("127.0.0.1", next(ports))
+                self.service_by_upstream[name] = layout.name
+                self.agent_addresses[name] = Address("127.0.0.1", next(ports))
                 self.upstream_urls[name] = f"http://127.0.0.1:{next(ports)}"
-        self.documents = make_documents(self.layouts, self._service_ports, self.agents)
+        self.documents = make_documents(self.layouts, self._service_ports, self.agent_addresses)
         self.certificate = make_certificate()
 
-    def _write(self, name: str, text: str) -> str:
+    def _write_file(self, name: str, text: str) -> str:
         path = os.path.join(self.directory, name)
         with open(path, "w") as file:
             file.write(text)
@@ -114,50 +114,50 @@
 
     def _start_platform(self) -> None:
         port = self.platform_url.rpartition(":")[2]
-        self.spawn("platform", "-m", "shedsill.testing.platform", "--port", port)
-        asyncio.run(self._wait_for(f"{self.platform_url}/calls"))
+        self.start_process("platform", "-m", "shedsill.testing.platform", "--port", port)
+        asyncio.run(self._wait_for_url(f"{self.platform_url}/calls"))
 
     def _start_fabric(self) -> None:
         command = ["-m", "shedsill.testing.fabric"]
         for layout in self.layouts:
             port = self._service_ports[layout.name]
-            targets = [f"{b.host}:{port}" for b in self.balancers.values()]
-            command += ["--route", str(self.fronts[layout.name]), ",".join(targets)]
+            targets = [f"{b.host}:{port}" for b in self.balancer_addresses.values()]
+            command += ["--route", str(self.service_addresses[layout.name]), ",".join(targets)]
         control = self.fabric_url.rpartition(":")[2]
-        self.spawn("fabric", *command, "--control", control)
+        self.start_process("fabric", *command, "--control", control)
 
     def start_balancer(self, name: str, address: Address) -> None:
         """Start, or start again, a balancer."""
-        options = ["--service-host", address.host, *self.extra.get("balancer", ())]
-        self._spawn_node("balancer", name, address, options)
+        options = ["--service-host", address.host, *self.extra_options.get("balancer", ())]
+        self._start_node("balancer", name, address, options)
 
     def start_upstream(self, name: str) -> None:
         """Start, or start again, an upstream stand-in."""
         port = self.upstream_urls[name].rpartition(":")[2]
         command = ["-m", "shedsill.testing.upstream", "--name", name, "--port", port]
-        self.spawn(f"upstream-{name}", *command, *self.extra.get("upstream", ()))
+        self.start_process(f"upstream-{name}", *command, *self.extra_options.get("upstream", ()))
 
     def start_agent(self, name: str) -> None:
         """Start, or start again, the agent beside an upstream."""
         assert self.certificate is not None
         options = [
             "--service",
-            self.service_of[name],
+            self.service_by_upstream[name],
             "--upstream-url",
             self.upstream_urls[name],
             "--certificate",
             self.certificate.certificate,
             "--private-key",
             self.certificate.private_key,
-            *self.extra.get("agent", ()),
+            *self.extra_options.get("agent", ()),
         ]
-        self._spawn_node("agent", name, self.agents[name], options)
+        self._start_node("agent", name, self.agent_addresses[name], options)
 
-    def _spawn_node(
+    def _start_node(
         self, role: str, name: str, address: Address, options: list[str]
     ) -> None:
-        peers = ",".join(str(b) for b in self.balancers.values())
-        self.spawn(
+        peers = ",".join(str(b) for b in self.balancer_addresses.values())
+        self.start_process(
             name,
             "-m",
             "shedsill",
@@ -175,7 +175,7 @@
             *options,
         )
 
-    def spawn(self, name: str, *command: str) -> Process:
+    def start_process(self, name: str, *command: str) -> Process:
         """Start one Python process; its output goes to a file of its name."""
         log = open(os.path.join(self.directory, f"{name}.log"), "ab")  # noqa: SIM115
         handle = subprocess.Popen(
@@ -198,8 +198,8 @@
             raise AssertionError(f"{command}: {done.stdout}{done.stderr}")
         return done.stdout
 
-    async def _wait_for(self, url: str) -> dict[str, Any]:
-        end = time.monotonic() + START_TIMEOUT
+    async def _wait_for_url(self, url: str) -> dict[str, Any]:
+        end = time.monotonic() + START_TIMEOUT_SECONDS
         async with aiohttp.ClientSession() as session:
             while True:
                 with contextlib.suppress(aiohttp.ClientError, OSError):
@@ -212,11 +212,11 @@
 
     async def wait_ready(self, *names: str) -> None:
         """Wait until nodes say that they are ready; all of them by default."""
-        addresses = {**self.balancers, **self.agents}
+        addresses = {**self.balancer_addresses, **self.agent_addresses}
         for name in names or tuple(addresses):
-            await self._wait_for(f"http://{addresses[name]}/readyz")
+            await self._wait_for_url(f"http://{addresses[name]}/readyz")
 
-    async def fetch(self, url: str, *, body: Any = None) -> dict[str, Any]:
+    async def fetch_json(self, url: str, *, body: Any = None) -> dict[str, Any]:
         """Get or post JSON to a stand-in or a node."""
         async with aiohttp.ClientSession() as session:
             method = "GET" if body is None else "POST"
@@ -226,17 +226,17 @@
     async def read_journals(self, service: str) -> list[dict[str, Any]]:
         """Return all that ran on the upstreams of a service."""
         entries = []
-        for name, owner in self.service_of.items():
+        for name, owner in self.service_by_upstream.items():
             if owner == service:
-                journal = await self.fetch(f"{self.upstream_urls[name]}/journal")
+                journal = await self.fetch_json(f"{self.upstream_urls[name]}/journal")
                 entries += journal["entries"]
         return entries
 
     def stop(self) -> None:
         """End all processes that this cluster started."""
         for process in self.processes.values():
-            process.send(signal.SIGCONT)
-            process.send(signal.SIGKILL)
+            process.send_signal(signal.SIGCONT)
+            process.send_signal(signal.SIGKILL)
         for process in self.processes.values():
             process.wait()
             process.log.close()
--- a/shedsill/testing/parts.py
+++ b/shedsill/testing/simulation_parts.py
@@ -17,7 +17,7 @@
 from shedsill.http3._outcomes import Transfer
 
 
-class OracleError(AssertionError):
+class InvariantError(AssertionError):
     """A promise of the system does not hold."""
 
 
@@ -27,22 +27,22 @@
 
     Attributes
     ----------
-    work : str
+    job : str
         The piece of work; several attempts may ask for the same one.
-    sent, answered : int
+    sent_position, answered_position : int
         Places in the order of all that happened; time may stand still.
     """
 
     number: int
     flow: CallerFlow
-    work: str
+    job: str
     path: str
     key: str
-    sent: int
+    sent_position: int
     arrived: bool = False
     cancelled: bool = False
     outcome: RequestOutcome | None = None
-    answered: int = 0
+    answered_position: int = 0
     body: bytes = b""
     ticket: str = ""
     retry_after: int = 0
@@ -58,13 +58,13 @@
     first_cid: bytes
     cid: bytes = b""
     agent: str = ""
-    broken: bool = False
-    unsent: list[Attempt] = field(factory=list)
+    is_broken: bool = False
+    queued_attempts: list[Attempt] = field(factory=list)
     attempts: list[Attempt] = field(factory=list)
 
 
 @frozen
-class Connected:
+class FlowAccepted:
     """The agent's answer to a first packet."""
 
     flow: CallerFlow
@@ -73,7 +73,7 @@
 
 
 @frozen
-class Answered:
+class AttemptAnswer:
     """The final answer to an attempt."""
 
     attempt: Attempt
@@ -91,7 +91,7 @@
     caller_flow: CallerFlow
     cid: bytes
     reply_to: Address
-    unacknowledged: list[Connected | Answered] = field(factory=list)
+    unacknowledged: list[FlowAccepted | AttemptAnswer] = field(factory=list)
 
 
 @define(eq=False)
@@ -105,25 +105,25 @@
 
 
 @define(eq=False)
-class Run:
+class UpstreamRun:
     """One piece of work at an upstream."""
 
     attempt: Attempt
     agent: str
     incarnation: int
     request: int
-    started: float
-    running: bool = True
+    started_at: float
+    is_running: bool = True
     cancelled: bool = False
     shed: bool = False
 
 
 @frozen
-class Cancel:
+class PendingCancel:
     """A closed connection that the upstream will notice at a time."""
 
-    run: Run
-    due: float
+    run: UpstreamRun
+    due_at: float
 
 
 @define(eq=False)
@@ -133,33 +133,33 @@
     name: str
     service: str
     slots: int
-    journal: list[Run] = field(factory=list)
-    cancels: list[Cancel] = field(factory=list)
-    lies_idle: bool = False
+    journal: list[UpstreamRun] = field(factory=list)
+    pending_cancels: list[PendingCancel] = field(factory=list)
+    reports_idle: bool = False
 
-    def list_running(self) -> list[Run]:
+    def list_running(self) -> list[UpstreamRun]:
         """Return the work in slots."""
-        return [r for r in self.journal if r.running and r.attempt.path != "/stream"]
+        return [r for r in self.journal if r.is_running and r.attempt.path != "/stream"]
 
 
 @define(eq=False)
-class ProcessFake:
+class FakeProcess:
     """A node's process: its state, and what the runtime would keep."""
 
     name: str
     address: Address
     state: AgentState | BalancerState
-    frozen: bool = False
-    exited: bool = False
+    is_suspended: bool = False
+    has_exited: bool = False
     inbox: list[Event] = field(factory=list)
     flows: dict[int, AgentFlow] = field(factory=dict)
     exchanges: dict[int, Exchange] = field(factory=dict)
-    numbers: itertools.count = field(factory=itertools.count)
+    sequence: itertools.count = field(factory=itertools.count)
     highest_generation: int = 0
 
 
 @define(eq=False)
-class ToBalancer:
+class CallerDatagram:
     """A caller's datagram on its way to some balancer."""
 
     flow: CallerFlow
@@ -176,7 +176,7 @@
 
 
 @define(eq=False)
-class ToCallerMessage:
+class CallerReply:
     """A datagram on its way to a caller."""
 
     payload: int
@@ -191,7 +191,7 @@
     purpose: events.Purpose
     call: Call
     name: str
-    asked: float
+    sent_at: float
 
 
 @define(eq=False)
@@ -211,9 +211,9 @@
     incarnation: int
     peer: Address
     attempt: Attempt
-    answer: Answered | None = None
-    gone: bool = False
-    returning: bool = False
+    answer: AttemptAnswer | None = None
+    not_accepted: bool = False
+    is_reply: bool = False
 
 
 @define(eq=False)
@@ -224,16 +224,16 @@
     peer: Address
     upstream: int
     transfers: tuple[Transfer, ...]
-    returning: bool = False
+    is_reply: bool = False
 
 
 Message = (
-    ToBalancer
+    CallerDatagram
     | FrameMessage
-    | ToCallerMessage
+    | CallerReply
     | PlatformMessage
     | PullMessage
     | PeerCall
     | HandoverCall
 )
-DATAGRAMS = (ToBalancer, FrameMessage, ToCallerMessage)
+DATAGRAM_TYPES = (CallerDatagram, FrameMessage, CallerReply)
--- a/shedsill/testing/slow_server.py
+++ b/shedsill/testing/slow_server.py
@@ -6,12 +6,12 @@
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
 
-__all__ = ["serve_parts"]
+__all__ = ["serve_slow_response"]
 
 
 @asynccontextmanager
-async def serve_parts(
-    parts: list[bytes], *, pause: float, sent: int | None = None, head: str = ""
+async def serve_slow_response(
+    parts: list[bytes], *, pause: float, sent_count: int | None = None, extra_headers: str = ""
 ) -> AsyncIterator[int]:
     """Answer each connection's one call with some parts; yield the port.
 
@@ -19,9 +19,9 @@
     ----------
     pause : float
         Seconds before each part.
-    sent : int or None
+    sent_count : int or None
         How many of the parts that the head announces are sent; None for all.
-    head : str
+    extra_headers : str
         Further lines of the answer's head, each with its line end.
     """
 
@@ -31,9 +31,9 @@
         await reader.readuntil(b"\r\n\r\n")
         length = sum(map(len, parts))
         writer.write(
-            f"HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n{head}\r\n".encode()
+            f"HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n{extra_headers}\r\n".encode()
         )
-        for part in parts[:sent]:
+        for part in parts[:sent_count]:
             await asyncio.sleep(pause)
             writer.write(part)
             await writer.drain()
--- a/shedsill/testing/upstream.py
+++ b/shedsill/testing/upstream.py
@@ -23,7 +23,7 @@
 from attrs import asdict, define, field
 
 SHED_STATUS = 503
-COLD_FACTOR = 4.0
+COLD_SLOWDOWN = 4.0
 
 
 @define
@@ -54,7 +54,7 @@
     """The stand-in's state and handlers."""
 
     name: str
-    work: float = 0.02
+    work_seconds: float = 0.02
     faults: UpstreamFaults = field(factory=UpstreamFaults)
     journal: list[JournalEntry] = field(factory=list)
     busy: int = 0
@@ -66,57 +66,57 @@
     def make_app(self) -> web.Application:
         """Return the HTTP application."""
         app = web.Application(client_max_size=1 << 30)
-        app.router.add_post("/claim", self._claim)
-        app.router.add_post("/alarm", self._claim)
-        app.router.add_get("/stream", self._stream)
-        app.router.add_post("/upload", self._upload)
+        app.router.add_post("/claim", self._handle_claim)
+        app.router.add_post("/alarm", self._handle_claim)
+        app.router.add_get("/stream", self._handle_stream)
+        app.router.add_post("/upload", self._handle_upload)
         app.router.add_get("/journal", self._show_journal)
         app.router.add_get("/load", self._show_load)
         app.router.add_get("/health", self._show_health)
-        app.router.add_post("/drain", self._drain)
+        app.router.add_post("/drain", self._start_drain)
         app.router.add_post("/faults", self._set_faults)
-        app.router.add_route("*", "/{rest:.*}", self._claim)
+        app.router.add_route("*", "/{rest:.*}", self._handle_claim)
         return app
 
-    async def _claim(self, request: web.Request) -> web.StreamResponse:
+    async def _handle_claim(self, request: web.Request) -> web.StreamResponse:
         if self.faults.shed:
             return web.Response(status=SHED_STATUS, text="shed")
         body = (await request.text())[:200]
         entry = JournalEntry(path=request.path, body=body)
-        return await self._work(request, entry, f"{self.name} ran {body}\n")
+        return await self._run_request(request, entry, f"{self.name} ran {body}\n")
 
-    async def _upload(self, request: web.Request) -> web.StreamResponse:
+    async def _handle_upload(self, request: web.Request) -> web.StreamResponse:
         if self.faults.shed:
             return web.Response(status=SHED_STATUS, text="shed")
         entry = JournalEntry(path=request.path, body="")
         size = 0
-        with self._count(entry):
+        with self._track_request(entry):
             async for part in request.content.iter_any():
                 size += len(part)
             entry.body = str(size)
             entry.finished = True
         return web.Response(text=f"{self.name} took {size}\n")
 
-    async def _work(
+    async def _run_request(
         self, request: web.Request, entry: JournalEntry, text: str
     ) -> web.StreamResponse:
         loop = asyncio.get_running_loop()
-        seconds = self.work + self.faults.slow
+        seconds = self.work_seconds + self.faults.slow
         if loop.time() < self.cold_until:
-            seconds *= COLD_FACTOR
-        with self._count(entry):
+            seconds *= COLD_SLOWDOWN
+        with self._track_request(entry):
             await asyncio.sleep(seconds)
             entry.finished = True
         if self.faults.fail:
             return web.Response(status=500, text="failed")
         if self.faults.cut:
-            return await self._cut(request, text)
+            return await self._abort_response(request, text)
         if self.faults.odd:
             return web.Response(text=text, headers={"X-Odd": "naïve ✓"})
         return web.Response(text=text)
 
     @contextlib.contextmanager
-    def _count(self, entry: JournalEntry) -> Any:
+    def _track_request(self, entry: JournalEntry) -> Any:
         self.journal.append(entry)
         self.busy += 1
         self.most_busy = max(self.most_busy, self.busy)
@@ -128,7 +128,7 @@
         finally:
             self.busy -= 1
 
-    async def _cut(self, request: web.Request, text: str) -> web.StreamResponse:
+    async def _abort_response(self, request: web.Request, text: str) -> web.StreamResponse:
         response = web.StreamResponse(headers={"Content-Length": str(len(text))})
         await response.prepare(request)
         await response.write(text[: len(text) // 2].encode())
@@ -136,7 +136,7 @@
         request.transport.abort()
         return response
 
-    async def _stream(self, request: web.Request) -> web.StreamResponse:
+    async def _handle_stream(self, request: web.Request) -> web.StreamResponse:
         interval = float(request.query.get("interval", "0.1"))
         count = int(request.query.get("count", "-1"))
         response = web.StreamResponse(headers={"Content-Type": "text/plain"})
@@ -166,7 +166,7 @@
     async def _show_health(self, _request: web.Request) -> web.Response:
         return web.json_response({"healthy": True, "draining": self.draining})
 
-    async def _drain(self, _request: web.Request) -> web.Response:
+    async def _start_drain(self, _request: web.Request) -> web.Response:
         self.draining = True
         return web.json_response({})
 
@@ -193,7 +193,7 @@
 
 
 async def _run(name: str, port: int, work: float) -> None:
-    await serve_upstream(UpstreamStandIn(name=name, work=work), port)
+    await serve_upstream(UpstreamStandIn(name=name, work_seconds=work), port)
     await asyncio.Event().wait()
 
 
--- a/shedsill/tests/test_cli.py
+++ b/shedsill/tests/test_cli.py
@@ -18,7 +18,7 @@
 from shedsill._cli.daemons import agent, balancer
 from shedsill.errors import SettingError
 from shedsill.testing.platform import PlatformStandIn
-from shedsill.testing.ports import find_ports
+from shedsill.testing.ports import get_free_ports
 
 DOCS = pathlib.Path(__file__).parents[2] / "docs"
 SECRET = "ab" * 32
@@ -33,7 +33,7 @@
 
 @pytest.fixture
 def platform_url() -> Iterator[str]:
-    (port,) = find_ports(1)
+    (port,) = get_free_ports(1)
     loop = asyncio.new_event_loop()
     runner = web.AppRunner(PlatformStandIn().make_app(), shutdown_timeout=0.1)
 
--- a/shedsill/tests/test_connections.py
+++ b/shedsill/tests/test_connections.py
@@ -17,7 +17,7 @@
 from shedsill.coordination.platform import List, Listing, Unavailable
 from shedsill.http3._runtime.platform import HttpPlatform
 from shedsill.http3._runtime.upstream import UpstreamClient
-from shedsill.testing.slow_server import serve_parts
+from shedsill.testing.slow_server import serve_slow_response
 
 TIMEOUT = 0.4
 CONTENT = json.dumps({"items": [], "revision": 7, "padding": "x" * 60}).encode()
@@ -34,7 +34,7 @@
     step = len(CONTENT) // PARTS + 1
     content = [CONTENT[start : start + step] for start in range(0, len(CONTENT), step)]
     head = "Connection: close\r\nContent-Type: application/json\r\n"
-    async with serve_parts(content, pause=pause, sent=parts, head=head) as port:
+    async with serve_slow_response(content, pause=pause, sent_count=parts, extra_headers=head) as port:
         return await use(f"http://127.0.0.1:{port}")
 
 
--- a/shedsill/tests/test_datagram_heartbeats.py
+++ b/shedsill/tests/test_datagram_heartbeats.py
@@ -25,8 +25,8 @@
 from shedsill.platform.heartbeats import InstanceCalls
 from shedsill.testing.agents import make_agent_state
 from shedsill.testing.flow_endpoints import CODEC, make_packet
-from shedsill.testing.nodes import PORTS, make_settings
-from shedsill.testing.ports import find_ports
+from shedsill.testing.node_settings import NODE_PORT_COUNT, make_node_settings
+from shedsill.testing.ports import get_free_ports
 
 SLOTS = 2
 CALLER, SERVICE = (0x64400007, 40_001), (0xC6120001, 443)
@@ -174,14 +174,14 @@
 
 async def send_heartbeats_over_http(*beats: tuple[str, int, str]) -> list[int]:
     """Handle heartbeat requests at an agent; return the status codes of its answers."""
-    host, ports = "127.0.0.4", find_ports(PORTS + 2)
-    settings = make_settings(
+    host, ports = "127.0.0.4", get_free_ports(NODE_PORT_COUNT + 2)
+    settings = make_node_settings(
         host,
         Role.AGENT,
         ports,
         service="dispatcher",
-        upstream=Address(host, ports[PORTS]),
-        outbound=Address(host, ports[PORTS + 1]),
+        upstream=Address(host, ports[NODE_PORT_COUNT]),
+        outbound=Address(host, ports[NODE_PORT_COUNT + 1]),
     )
     node = create_agent(
         settings,
--- a/shedsill/tests/test_datagram_http.py
+++ b/shedsill/tests/test_datagram_http.py
@@ -9,7 +9,7 @@
 
 from shedsill._addresses import Address
 from shedsill.datagram._runtime.http import HttpClient, Response, _ServerProtocol
-from shedsill.testing.slow_server import serve_parts
+from shedsill.testing.slow_server import serve_slow_response
 
 TIMEOUT = 0.4
 PARTS = 6
@@ -22,7 +22,7 @@
     The header announces `PARTS` parts, of which `parts` are sent.
     """
 
-    async with serve_parts([BODY] * PARTS, pause=pause, sent=parts) as port:
+    async with serve_slow_response([BODY] * PARTS, pause=pause, sent_count=parts) as port:
         client = HttpClient(Address("127.0.0.1", port))
         try:
             return await client.request("GET", "/", None, timeout=TIMEOUT)
--- a/shedsill/tests/test_datagram_tables.py
+++ b/shedsill/tests/test_datagram_tables.py
@@ -22,8 +22,8 @@
 from shedsill.errors import DecodeError
 from shedsill.platform.manifest import TABLE_SOURCE
 from shedsill.platform.packets import HeaderCodec
-from shedsill.testing.nodes import PORTS, make_settings
-from shedsill.testing.ports import find_ports
+from shedsill.testing.node_settings import NODE_PORT_COUNT, make_node_settings
+from shedsill.testing.ports import get_free_ports
 
 ROUTES = 1_646
 PULLS = 22
@@ -106,7 +106,7 @@
 
 def make_node(host: str, ports: list[int]) -> BalancerNode:
     """Return a balancer on a loopback address with an empty store."""
-    settings = make_settings(host, Role.BALANCER, ports)
+    settings = make_node_settings(host, Role.BALANCER, ports)
     return create_balancer(
         settings,
         source=None,  # type: ignore[arg-type]
@@ -118,7 +118,7 @@
 
 async def pull_tables(pulls: int) -> tuple[BalancerNode, BalancerNode]:
     """Have a balancer pull another one's table several times at once."""
-    ports = find_ports(PORTS)
+    ports = get_free_ports(NODE_PORT_COUNT)
     ahead, behind = (make_node(host, ports) for host in ("127.0.0.2", "127.0.0.3"))
     await ahead.serve(ahead.settings.messages, ahead._handle_peer_request)
     ahead._handle_table(make_table(ROUTES), "store")
--- a/shedsill/tests/test_faults.py
+++ b/shedsill/tests/test_faults.py
@@ -16,7 +16,7 @@
 from shedsill.http3._configuration import UpstreamState
 from shedsill.http3._resources import Action, Change, Upstream, UpstreamSet
 from shedsill.testing.http3_simulation import Simulation
-from shedsill.testing.parts import Attempt, CallerFlow, PlatformMessage
+from shedsill.testing.simulation_parts import Attempt, CallerFlow, PlatformMessage
 
 BALANCERS = ("b1", "b2", "b3")
 
@@ -296,7 +296,7 @@
 
 def fault_lying_load(scenario: Scenario) -> None:
     for upstream in scenario.simulation.upstreams.values():
-        upstream.lies_idle = True
+        upstream.reports_idle = True
 
 
 def fault_clock_jump(scenario: Scenario) -> None:
@@ -338,7 +338,7 @@
     STEPS[step](scenario)
     scenario.simulation.retransmit()
     scenario.simulation.settle(20.0, step=0.25)
-    assert not any(flow.broken for flow in scenario.simulation.flows)
+    assert not any(flow.is_broken for flow in scenario.simulation.flows)
     attempt = run_request(scenario, "after", path="/read")
     assert attempt.outcome is not None
 
@@ -369,7 +369,7 @@
     scenario.simulation.close_flow(scenario.flow)
     scenario.simulation.stop(stopped)
     scenario.simulation.settle(4.0)
-    assert process.exited
+    assert process.has_exited
     scenario.flow = scenario.simulation.open_flow("dispatcher")
     scenario.simulation.settle(0.5)
     again = run_request(scenario, "w", key=ticket)
@@ -400,7 +400,7 @@
         simulation.settle(0.2)
     address = simulation.nodes["d1"].address
     simulation.kill("d1")
-    stray.broken = False
+    stray.is_broken = False
     simulation.take_over_address("i9", "intake", address)
     attempt = simulation.send_request(stray, "stray")
     for _ in range(12):
@@ -426,4 +426,4 @@
         simulation.settle(0.2)
     scenario.flow = flow
     assert run_request(scenario, "right").outcome == RequestOutcome.DONE
-    stray.broken = True
+    stray.is_broken = True
--- a/shedsill/tests/test_platform_store.py
+++ b/shedsill/tests/test_platform_store.py
@@ -35,7 +35,7 @@
 from shedsill.platform import store as store_module
 from shedsill.platform.store import ObjectStore
 from shedsill.testing.object_store import ObjectStoreStandIn
-from shedsill.testing.ports import find_ports
+from shedsill.testing.ports import get_free_ports
 
 Scenario = Callable[[ObjectStoreStandIn, ObjectStore], Awaitable[None]]
 KIND = "things"
@@ -48,7 +48,7 @@
         stand_in = ObjectStoreStandIn()
         runner = web.AppRunner(stand_in.make_app(), shutdown_timeout=0.1)
         await runner.setup()
-        port = find_ports(1)[0]
+        port = get_free_ports(1)[0]
         await web.TCPSite(runner, "127.0.0.1", port).start()
         try:
             await scenario(stand_in, ObjectStore(Address("127.0.0.1", port)))
--- a/shedsill/tests/test_process_faults.py
+++ b/shedsill/tests/test_process_faults.py
@@ -30,8 +30,8 @@
         make_layout("intake", count=2, slots=3),
     )
     cluster = Cluster(layouts, str(tmp_path))
-    cluster.extra["balancer"] = ("--quiet", "0.5")
-    cluster.extra["agent"] = ("--idle-span", "0.3")
+    cluster.extra_options["balancer"] = ("--quiet", "0.5")
+    cluster.extra_options["agent"] = ("--idle-span", "0.3")
     with run_cluster(cluster):
         yield cluster
 
@@ -40,11 +40,11 @@
     """Assert that each stream receives more bytes and is not cut."""
     for stream in streams:
         await wait_for_body(stream, len(stream.body) + MORE_BYTES)
-        assert not stream.cut
+        assert not stream.is_interrupted
 
 
 def open_streams(client: HttpClient, count: int) -> list[Response]:
-    return [client.open("GET", STREAM)[1] for _ in range(count)]
+    return [client.send_request("GET", STREAM)[1] for _ in range(count)]
 
 
 def get_upstream_name(response: Response) -> str:
@@ -65,9 +65,9 @@
 
 
 async def withdraw(cluster: Cluster, *names: str) -> None:
-    hosts = [cluster.balancers[name].host for name in names]
+    hosts = [cluster.balancer_addresses[name].host for name in names]
     body = {"withdrawn": hosts}
-    await cluster.fetch(f"{cluster.fabric_url}/balancers", body=body)
+    await cluster.fetch_json(f"{cluster.fabric_url}/balancers", body=body)
 
 
 def test_streams_survive_rolling_replacement(cluster: Cluster) -> None:
@@ -75,20 +75,20 @@
 
     async def replace(name: str) -> None:
         await withdraw(cluster, name)
-        cluster.processes[name].send(signal.SIGTERM)
+        cluster.processes[name].send_signal(signal.SIGTERM)
         assert await asyncio.to_thread(cluster.processes[name].wait) == 0
-        cluster.start_balancer(name, cluster.balancers[name])
+        cluster.start_balancer(name, cluster.balancer_addresses[name])
         await cluster.wait_ready(name)
         await withdraw(cluster)
 
     async def run() -> None:
-        front = cluster.fronts[SERVICE]
+        front = cluster.service_addresses[SERVICE]
         async with open_client(front) as one, open_client(front) as two:
             streams = open_streams(one, 2) + open_streams(two, 2)
             await expect_progress(streams)
             drained = get_upstream_name(streams[0])
             await asyncio.to_thread(cluster.run_command, "drain", "--no-wait", drained)
-            for name in cluster.balancers:
+            for name in cluster.balancer_addresses:
                 await replace(name)
                 rotate = ("rotate-keys", "--timeout", "20")
                 await asyncio.to_thread(cluster.run_command, *rotate)
@@ -110,15 +110,15 @@
     cluster: Cluster, fault_signal: signal.Signals
 ) -> None:
     async def run() -> None:
-        async with open_client(cluster.fronts[SERVICE]) as client:
+        async with open_client(cluster.service_addresses[SERVICE]) as client:
             streams = open_streams(client, 2)
             await expect_progress(streams)
-            cluster.processes["balancer-1"].send(fault_signal)
+            cluster.processes["balancer-1"].send_signal(fault_signal)
             await expect_progress(streams)
             await withdraw(cluster, "balancer-1")
             await asyncio.sleep(2.5)
             await expect_progress(streams)
-            cluster.processes["balancer-1"].send(signal.SIGCONT)
+            cluster.processes["balancer-1"].send_signal(signal.SIGCONT)
             await withdraw(cluster)
             await expect_progress(streams)
             claim = await client.request("POST", "/claim", body=b"x")
@@ -131,16 +131,16 @@
     cluster: Cluster,
 ) -> None:
     async def run() -> None:
-        cluster.processes["platform"].send(signal.SIGSTOP)
+        cluster.processes["platform"].send_signal(signal.SIGSTOP)
         name = "balancer-2"
-        cluster.processes[name].send(signal.SIGKILL)
+        cluster.processes[name].send_signal(signal.SIGKILL)
         await asyncio.to_thread(cluster.processes[name].wait)
-        cluster.start_balancer(name, cluster.balancers[name])
+        cluster.start_balancer(name, cluster.balancer_addresses[name])
         await cluster.wait_ready(name)
-        async with open_client(cluster.fronts[SERVICE]) as client:
+        async with open_client(cluster.service_addresses[SERVICE]) as client:
             claim = await client.request("POST", "/claim", body=b"x")
             assert claim.outcome == "done"
-        cluster.processes["platform"].send(signal.SIGCONT)
+        cluster.processes["platform"].send_signal(signal.SIGCONT)
         await asyncio.to_thread(cluster.run_command, "rotate-keys", "--timeout", "30")
 
     asyncio.run(run())
@@ -148,17 +148,17 @@
 
 def test_killed_agent_never_runs_a_request_twice(cluster: Cluster) -> None:
     async def run() -> None:
-        front = cluster.fronts[SERVICE]
+        front = cluster.service_addresses[SERVICE]
         async with open_client(front) as client:
             first = await client.request("GET", "/read")
             key = {"idempotency-key": first.ticket}
             name = get_upstream_name(first)
             faults = f"{cluster.upstream_urls[name]}/faults"
-            await cluster.fetch(faults, body={"slow": 1.0})
-            client.open("POST", "/claim", body=b"once", headers=key)
+            await cluster.fetch_json(faults, body={"slow": 1.0})
+            client.send_request("POST", "/claim", body=b"once", headers=key)
             await asyncio.sleep(0.3)
-            cluster.processes[name].send(signal.SIGKILL)
-        await cluster.fetch(faults, body={"slow": 0.0})
+            cluster.processes[name].send_signal(signal.SIGKILL)
+        await cluster.fetch_json(faults, body={"slow": 0.0})
         cluster.start_agent(name)
         await cluster.wait_ready(name)
         async with open_client(front) as client:
@@ -174,16 +174,16 @@
     cluster: Cluster,
 ) -> None:
     async def run() -> None:
-        front = cluster.fronts[SERVICE]
+        front = cluster.service_addresses[SERVICE]
         async with open_client(front) as client:
             first = await client.request("GET", "/read")
             key = {"idempotency-key": first.ticket}
             name = get_upstream_name(first)
             faults = f"{cluster.upstream_urls[name]}/faults"
-            await cluster.fetch(faults, body={"slow": 0.6})
-            _stream, running = client.open("POST", "/claim", body=b"once", headers=key)
+            await cluster.fetch_json(faults, body={"slow": 0.6})
+            _stream, running = client.send_request("POST", "/claim", body=b"once", headers=key)
             await asyncio.sleep(0.2)
-            cluster.processes[name].send(signal.SIGTERM)
+            cluster.processes[name].send_signal(signal.SIGTERM)
             await wait_for_body(running, 5)
             assert (running.status, running.outcome) == (200, "done")
         assert await asyncio.to_thread(cluster.processes[name].wait) == 0
@@ -199,8 +199,8 @@
 def test_lossy_network_neither_loses_nor_repeats_requests(cluster: Cluster) -> None:
     async def run() -> None:
         faults = {"drop": 0.05, "duplicate": 0.1, "reorder": 0.2}
-        await cluster.fetch(f"{cluster.fabric_url}/faults", body=faults)
-        async with open_client(cluster.fronts[SERVICE]) as client:
+        await cluster.fetch_json(f"{cluster.fabric_url}/faults", body=faults)
+        async with open_client(cluster.service_addresses[SERVICE]) as client:
             for index in range(30):
                 body = f"claim-{index}".encode()
                 claim = await client.request("POST", "/claim", body=body)
@@ -227,8 +227,8 @@
 ) -> None:
     async def run() -> None:
         for url in cluster.upstream_urls.values():
-            await cluster.fetch(f"{url}/faults", body={fault: True})
-        async with open_client(cluster.fronts[SERVICE]) as client:
+            await cluster.fetch_json(f"{url}/faults", body={fault: True})
+        async with open_client(cluster.service_addresses[SERVICE]) as client:
             claim = await client.request("POST", "/claim", body=b"x")
             assert (claim.status, claim.outcome) == (status, outcome)
             assert ("retry-after" in claim.headers) == (outcome == "not-run")
@@ -242,16 +242,16 @@
     cluster: Cluster,
 ) -> None:
     async def run() -> None:
-        async with open_client(cluster.fronts[SERVICE]) as client:
+        async with open_client(cluster.service_addresses[SERVICE]) as client:
             (stream,) = open_streams(client, 1)
             await expect_progress([stream])
             name = get_upstream_name(stream)
-            cluster.processes[f"upstream-{name}"].send(signal.SIGKILL)
+            cluster.processes[f"upstream-{name}"].send_signal(signal.SIGKILL)
             async with asyncio.timeout(10):
-                while not (stream.cut or stream.whole):
+                while not (stream.is_interrupted or stream.is_complete):
                     stream.changed.clear()
                     await stream.changed.wait()
-            assert (stream.cut, stream.whole) == (True, False)
+            assert (stream.is_interrupted, stream.is_complete) == (True, False)
 
     asyncio.run(run())
 
@@ -261,10 +261,10 @@
 ) -> None:
     async def run(cluster: Cluster) -> None:
         for _ in range(6):
-            async with open_client(cluster.fronts["intake"]) as client:
+            async with open_client(cluster.service_addresses["intake"]) as client:
                 claim = await client.request("POST", "/claim", body=b"x")
                 assert claim.outcome == "done"
-        address = cluster.agents["intake-1"]
+        address = cluster.agent_addresses["intake-1"]
         async with (
             aiohttp.ClientSession() as session,
             session.get(f"http://{address}/metrics") as response,
@@ -275,7 +275,7 @@
 
     layout = make_layout("intake", count=1, slots=3)
     cluster = Cluster((layout,), str(tmp_path))
-    cluster.extra["agent"] = ("--handshake-rate", "0.01/2", "--idle-span", "0.3")
+    cluster.extra_options["agent"] = ("--handshake-rate", "0.01/2", "--idle-span", "0.3")
     with run_cluster(cluster):
         asyncio.run(run(cluster))
 
@@ -283,8 +283,8 @@
 def test_upstreams_never_run_more_requests_than_slots(cluster: Cluster) -> None:
     async def run() -> None:
         for url in cluster.upstream_urls.values():
-            await cluster.fetch(f"{url}/faults", body={"slow": 0.1})
-        async with open_client(cluster.fronts[SERVICE]) as client:
+            await cluster.fetch_json(f"{url}/faults", body={"slow": 0.1})
+        async with open_client(cluster.service_addresses[SERVICE]) as client:
             answers = await asyncio.gather(
                 *(client.request("POST", "/claim", body=b"x") for _ in range(60))
             )
@@ -292,7 +292,7 @@
         assert refused
         assert all(int(a.headers["retry-after"]) >= 1 for a in refused)
         journals = [
-            await cluster.fetch(f"{url}/journal")
+            await cluster.fetch_json(f"{url}/journal")
             for url in cluster.upstream_urls.values()
         ]
         assert max(journal["most_busy"] for journal in journals) <= 3
@@ -306,7 +306,7 @@
     cluster: Cluster,
 ) -> None:
     async def read_metrics(name: str, number: int) -> float:
-        address = {**cluster.balancers, **cluster.agents}[name]
+        address = {**cluster.balancer_addresses, **cluster.agent_addresses}[name]
         async with (
             aiohttp.ClientSession() as session,
             session.get(f"http://{address}/metrics") as response,
@@ -318,8 +318,8 @@
     async def run() -> None:
         port = cluster._service_ports[SERVICE]
         sender = socket.socket(type=socket.SOCK_DGRAM)
-        balancer = cluster.balancers["balancer-1"]
-        agent = cluster.agents["dispatcher-1"]
+        balancer = cluster.balancer_addresses["balancer-1"]
+        agent = cluster.agent_addresses["dispatcher-1"]
         for size in range(MALFORMED_DATAGRAMS):
             data = os.urandom(size * 7)
             for target in ((balancer.host, port), balancer.pair, agent.pair):
@@ -330,7 +330,7 @@
         assert sum(drops) > MALFORMED_DATAGRAMS * 0.9
         assert await read_metrics("balancer-1", 303) > MALFORMED_DATAGRAMS * 0.9
         assert await read_metrics("dispatcher-1", 303) > MALFORMED_DATAGRAMS * 0.9
-        async with open_client(cluster.fronts[SERVICE]) as client:
+        async with open_client(cluster.service_addresses[SERVICE]) as client:
             claim = await client.request("POST", "/claim", body=b"x")
             assert claim.outcome == "done"
 
