--- a/benchmarks/changes.py
+++ b/benchmarks/changes.py
@@ -81,7 +81,9 @@
 
 
 async def _withdraw_balancers(cluster: Cluster, hosts: list[str]) -> None:
-    await cluster.fetch_json(f"{cluster.fabric_url}/balancers", body={"withdrawn": hosts})
+    await cluster.fetch_json(
+        f"{cluster.fabric_url}/balancers", body={"withdrawn": hosts}
+    )
 
 
 SCENARIOS = {
--- a/shedsill/_cli/daemons.py
+++ b/shedsill/_cli/daemons.py
@@ -18,8 +18,8 @@
     check_url,
     generate_incarnation,
     node_options,
-    parse_address_setting,
     parse_address_list,
+    parse_address_setting,
     parse_cluster_secrets,
     parse_rate,
 )
--- a/shedsill/_cli/operator.py
+++ b/shedsill/_cli/operator.py
@@ -13,6 +13,13 @@
 import yaml
 
 from shedsill._catalogue import LogEvent
+from shedsill._cli.document_writer import (
+    Unchanged,
+    Unconfirmed,
+    VersionConflict,
+    Written,
+    write_document,
+)
 from shedsill._cli.exit_codes import (
     EXIT_CONFLICT,
     EXIT_FAILED,
@@ -21,7 +28,6 @@
     EXIT_UNAVAILABLE,
 )
 from shedsill._cli.settings import check_url
-from shedsill._cli.document_writer import Unchanged, VersionConflict, Unconfirmed, Written, write_document
 from shedsill.coordination.backoff import Backoff
 from shedsill.coordination.platform import (
     Conflict,
@@ -64,7 +70,9 @@
 )
 
 
-def run_with_platform(platform: str, command: Callable[[Platform], Awaitable[int]]) -> None:
+def run_with_platform(
+    platform: str, command: Callable[[Platform], Awaitable[int]]
+) -> None:
     """Run a command against the platform and exit with its code."""
     url = check_url("--platform", platform)
 
@@ -85,7 +93,9 @@
         click.echo(yaml.safe_dump(value, sort_keys=False).rstrip())
 
 
-def _get_resource_view(item: StoredObject, status: StoredObject | None) -> dict[str, Any]:
+def _get_resource_view(
+    item: StoredObject, status: StoredObject | None
+) -> dict[str, Any]:
     shown = {
         "kind": item.kind,
         "name": item.name,
@@ -172,7 +182,9 @@
             _print_value(shown, output)
             return EXIT_CONFLICT
         case Unconfirmed(reason=reason):
-            _print_value({"resource": name, "result": "unknown", "reason": reason}, output)
+            _print_value(
+                {"resource": name, "result": "unknown", "reason": reason}, output
+            )
             return EXIT_UNAVAILABLE
 
 
--- a/shedsill/_cli/quickstart.py
+++ b/shedsill/_cli/quickstart.py
@@ -11,8 +11,8 @@
 
 import click
 
-from shedsill._cli.exit_codes import EXIT_FAILED, EXIT_OK
 from shedsill._cli.document_writer import Written, write_document
+from shedsill._cli.exit_codes import EXIT_FAILED, EXIT_OK
 from shedsill.http3._resources import parse_documents
 from shedsill.http3._runtime.log import configure_logging
 
--- a/shedsill/_cli/settings.py
+++ b/shedsill/_cli/settings.py
@@ -132,5 +132,7 @@
 def generate_incarnation() -> int:
     """Draw the number of this start: grows with time, differs at each start."""
     seconds = int(time.time()) - INCARNATION_EPOCH_SECONDS
-    drawn = (seconds << INCARNATION_RANDOM_BITS) | random.SystemRandom().getrandbits(INCARNATION_RANDOM_BITS)
+    drawn = (seconds << INCARNATION_RANDOM_BITS) | random.SystemRandom().getrandbits(
+        INCARNATION_RANDOM_BITS
+    )
     return drawn % INCARNATION_LIMIT
--- a/shedsill/testing/check.py
+++ b/shedsill/testing/check.py
@@ -29,7 +29,10 @@
     root = pathlib.Path.cwd()
     known = read_known_failures(root)
     if len(known) > MAX_KNOWN_FAILURES:
-        print(f"{KNOWN_FAILURES_FILE} lists {len(known)} tests; at most {MAX_KNOWN_FAILURES}")
+        print(
+            f"{KNOWN_FAILURES_FILE} lists {len(known)} tests; "
+            f"at most {MAX_KNOWN_FAILURES}"
+        )
         return 1
     arguments = []
     for line in known:
--- a/shedsill/testing/client.py
+++ b/shedsill/testing/client.py
@@ -136,10 +136,14 @@
         self.transmit()
 
 
-async def wait_for_body(response: Response, min_bytes: int, timeout: float = 20.0) -> None:
+async def wait_for_body(
+    response: Response, min_bytes: int, timeout: float = 20.0
+) -> None:
     """Wait until an answer has at least this many octets, or has ended."""
     async with asyncio.timeout(timeout):
-        while len(response.body) < min_bytes and not (response.is_complete or response.is_interrupted):
+        while len(response.body) < min_bytes and not (
+            response.is_complete or response.is_interrupted
+        ):
             response.changed.clear()
             await response.changed.wait()
 
--- a/shedsill/testing/documents.py
+++ b/shedsill/testing/documents.py
@@ -25,7 +25,9 @@
 
 def make_layout(name: str, *, count: int, slots: int) -> ServiceLayout:
     """Return a layout whose upstreams are numbered from 1."""
-    return ServiceLayout(name=name, upstreams=_list_upstream_names(name, count), slots=slots)
+    return ServiceLayout(
+        name=name, upstreams=_list_upstream_names(name, count), slots=slots
+    )
 
 
 PECAN_BOTTOM_LAYOUTS = (
--- a/shedsill/testing/http3_simulation.py
+++ b/shedsill/testing/http3_simulation.py
@@ -55,28 +55,32 @@
     encode_spec,
     get_kind,
 )
-from shedsill.testing.invariants import check_generations, check_claim_runs, check_slot_limits
+from shedsill.testing.invariants import (
+    check_claim_runs,
+    check_generations,
+    check_slot_limits,
+)
 from shedsill.testing.simulation_parts import (
     DATAGRAM_TYPES,
     AgentFlow,
-    AttemptAnswer,
     Attempt,
+    AttemptAnswer,
+    CallerDatagram,
     CallerFlow,
-    PendingCancel,
-    FlowAccepted,
+    CallerReply,
     Exchange,
+    FakeProcess,
     FakeUpstream,
+    FlowAccepted,
     FrameMessage,
     HandoverCall,
-    Message,
     InvariantError,
+    Message,
     PeerCall,
+    PendingCancel,
     PlatformMessage,
-    FakeProcess,
     PullMessage,
     UpstreamRun,
-    CallerDatagram,
-    CallerReply,
 )
 
 KEYS = KeyRing((bytes(range(32)),))
@@ -432,7 +436,9 @@
         self.now += seconds
         for upstream in self.upstreams.values():
             due = [c.run for c in upstream.pending_cancels if c.due_at <= self.now]
-            upstream.pending_cancels = [c for c in upstream.pending_cancels if c.due_at > self.now]
+            upstream.pending_cancels = [
+                c for c in upstream.pending_cancels if c.due_at > self.now
+            ]
             for run in due:
                 run.cancelled = run.is_running
                 run.is_running = False
@@ -672,7 +678,10 @@
         self._send_payload(process, exchange.flow, answered)
 
     def _send_payload(
-        self, process: FakeProcess, flow: AgentFlow, payload: FlowAccepted | AttemptAnswer
+        self,
+        process: FakeProcess,
+        flow: AgentFlow,
+        payload: FlowAccepted | AttemptAnswer,
     ) -> None:
         assert isinstance(process.state, AgentState)
         self.payloads.append(payload)
--- a/shedsill/testing/invariants.py
+++ b/shedsill/testing/invariants.py
@@ -6,7 +6,13 @@
 
 from shedsill.http3._answers import RequestOutcome
 from shedsill.http3._configuration import Configuration
-from shedsill.testing.simulation_parts import Attempt, FakeUpstream, InvariantError, FakeProcess, UpstreamRun
+from shedsill.testing.simulation_parts import (
+    Attempt,
+    FakeProcess,
+    FakeUpstream,
+    InvariantError,
+    UpstreamRun,
+)
 
 
 def check_slot_limits(upstreams: Iterable[FakeUpstream]) -> None:
@@ -17,7 +23,9 @@
             raise InvariantError(f"{upstream.name} works on {busy} requests")
 
 
-def check_claim_runs(upstreams: Iterable[FakeUpstream], attempts: Iterable[Attempt]) -> None:
+def check_claim_runs(
+    upstreams: Iterable[FakeUpstream], attempts: Iterable[Attempt]
+) -> None:
     """Demand that no claim ran twice, and none that was refused."""
     runs: dict[str, list[UpstreamRun]] = {}
     for upstream in upstreams:
--- a/shedsill/testing/processes.py
+++ b/shedsill/testing/processes.py
@@ -84,7 +84,9 @@
             self.start_upstream(name)
             self.start_agent(name)
         self._start_fabric()
-        self.run_command("apply", "-f", self._write_file("documents.yaml", self.documents))
+        self.run_command(
+            "apply", "-f", self._write_file("documents.yaml", self.documents)
+        )
         asyncio.run(self.wait_ready())
 
     def _assign_addresses(self) -> None:
@@ -95,7 +97,9 @@
         self.fabric_url = f"http://127.0.0.1:{next(ports)}"
         for index in range(self.balancer_count):
             host = f"127.0.1.{index + 1}"
-            self.balancer_addresses[f"balancer-{index + 1}"] = Address(host, next(ports))
+            self.balancer_addresses[f"balancer-{index + 1}"] = Address(
+                host, next(ports)
+            )
         for layout in self.layouts:
             self._service_ports[layout.name] = next(ports)
             self.service_addresses[layout.name] = Address("127.0.0.1", next(ports))
@@ -103,7 +107,9 @@
                 self.service_by_upstream[name] = layout.name
                 self.agent_addresses[name] = Address("127.0.0.1", next(ports))
                 self.upstream_urls[name] = f"http://127.0.0.1:{next(ports)}"
-        self.documents = make_documents(self.layouts, self._service_ports, self.agent_addresses)
+        self.documents = make_documents(
+            self.layouts, self._service_ports, self.agent_addresses
+        )
         self.certificate = make_certificate()
 
     def _write_file(self, name: str, text: str) -> str:
@@ -114,7 +120,9 @@
 
     def _start_platform(self) -> None:
         port = self.platform_url.rpartition(":")[2]
-        self.start_process("platform", "-m", "shedsill.testing.platform", "--port", port)
+        self.start_process(
+            "platform", "-m", "shedsill.testing.platform", "--port", port
+        )
         asyncio.run(self._wait_for_url(f"{self.platform_url}/calls"))
 
     def _start_fabric(self) -> None:
@@ -122,20 +130,30 @@
         for layout in self.layouts:
             port = self._service_ports[layout.name]
             targets = [f"{b.host}:{port}" for b in self.balancer_addresses.values()]
-            command += ["--route", str(self.service_addresses[layout.name]), ",".join(targets)]
+            command += [
+                "--route",
+                str(self.service_addresses[layout.name]),
+                ",".join(targets),
+            ]
         control = self.fabric_url.rpartition(":")[2]
         self.start_process("fabric", *command, "--control", control)
 
     def start_balancer(self, name: str, address: Address) -> None:
         """Start, or start again, a balancer."""
-        options = ["--service-host", address.host, *self.extra_options.get("balancer", ())]
+        options = [
+            "--service-host",
+            address.host,
+            *self.extra_options.get("balancer", ()),
+        ]
         self._start_node("balancer", name, address, options)
 
     def start_upstream(self, name: str) -> None:
         """Start, or start again, an upstream stand-in."""
         port = self.upstream_urls[name].rpartition(":")[2]
         command = ["-m", "shedsill.testing.upstream", "--name", name, "--port", port]
-        self.start_process(f"upstream-{name}", *command, *self.extra_options.get("upstream", ()))
+        self.start_process(
+            f"upstream-{name}", *command, *self.extra_options.get("upstream", ())
+        )
 
     def start_agent(self, name: str) -> None:
         """Start, or start again, the agent beside an upstream."""
--- a/shedsill/testing/slow_server.py
+++ b/shedsill/testing/slow_server.py
@@ -11,7 +11,11 @@
 
 @asynccontextmanager
 async def serve_slow_response(
-    parts: list[bytes], *, pause: float, sent_count: int | None = None, extra_headers: str = ""
+    parts: list[bytes],
+    *,
+    pause: float,
+    sent_count: int | None = None,
+    extra_headers: str = "",
 ) -> AsyncIterator[int]:
     """Answer each connection's one call with some parts; yield the port.
 
@@ -31,7 +35,9 @@
         await reader.readuntil(b"\r\n\r\n")
         length = sum(map(len, parts))
         writer.write(
-            f"HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n{extra_headers}\r\n".encode()
+            (
+                f"HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n{extra_headers}\r\n"
+            ).encode()
         )
         for part in parts[:sent_count]:
             await asyncio.sleep(pause)
--- a/shedsill/testing/upstream.py
+++ b/shedsill/testing/upstream.py
@@ -128,7 +128,9 @@
         finally:
             self.busy -= 1
 
-    async def _abort_response(self, request: web.Request, text: str) -> web.StreamResponse:
+    async def _abort_response(
+        self, request: web.Request, text: str
+    ) -> web.StreamResponse:
         response = web.StreamResponse(headers={"Content-Length": str(len(text))})
         await response.prepare(request)
         await response.write(text[: len(text) // 2].encode())
--- a/shedsill/tests/test_connections.py
+++ b/shedsill/tests/test_connections.py
@@ -34,7 +34,9 @@
     step = len(CONTENT) // PARTS + 1
     content = [CONTENT[start : start + step] for start in range(0, len(CONTENT), step)]
     head = "Connection: close\r\nContent-Type: application/json\r\n"
-    async with serve_slow_response(content, pause=pause, sent_count=parts, extra_headers=head) as port:
+    async with serve_slow_response(
+        content, pause=pause, sent_count=parts, extra_headers=head
+    ) as port:
         return await use(f"http://127.0.0.1:{port}")
 
 
--- a/shedsill/tests/test_datagram_http.py
+++ b/shedsill/tests/test_datagram_http.py
@@ -22,7 +22,9 @@
     The header announces `PARTS` parts, of which `parts` are sent.
     """
 
-    async with serve_slow_response([BODY] * PARTS, pause=pause, sent_count=parts) as port:
+    async with serve_slow_response(
+        [BODY] * PARTS, pause=pause, sent_count=parts
+    ) as port:
         client = HttpClient(Address("127.0.0.1", port))
         try:
             return await client.request("GET", "/", None, timeout=TIMEOUT)
--- a/shedsill/tests/test_process_faults.py
+++ b/shedsill/tests/test_process_faults.py
@@ -181,7 +181,9 @@
             name = get_upstream_name(first)
             faults = f"{cluster.upstream_urls[name]}/faults"
             await cluster.fetch_json(faults, body={"slow": 0.6})
-            _stream, running = client.send_request("POST", "/claim", body=b"once", headers=key)
+            _stream, running = client.send_request(
+                "POST", "/claim", body=b"once", headers=key
+            )
             await asyncio.sleep(0.2)
             cluster.processes[name].send_signal(signal.SIGTERM)
             await wait_for_body(running, 5)
@@ -275,7 +277,12 @@
 
     layout = make_layout("intake", count=1, slots=3)
     cluster = Cluster((layout,), str(tmp_path))
-    cluster.extra_options["agent"] = ("--handshake-rate", "0.01/2", "--idle-span", "0.3")
+    cluster.extra_options["agent"] = (
+        "--handshake-rate",
+        "0.01/2",
+        "--idle-span",
+        "0.3",
+    )
     with run_cluster(cluster):
         asyncio.run(run(cluster))
 
--- a/shedsill/tests/test_processes.py
+++ b/shedsill/tests/test_processes.py
@@ -7,7 +7,11 @@
 import pytest
 
 from shedsill.testing.client import open_client, wait_for_body
-from shedsill.testing.documents import LJUBLJANA_LAYOUTS, PECAN_BOTTOM_LAYOUTS, ServiceLayout
+from shedsill.testing.documents import (
+    LJUBLJANA_LAYOUTS,
+    PECAN_BOTTOM_LAYOUTS,
+    ServiceLayout,
+)
 from shedsill.testing.processes import Cluster, run_cluster
 
 UPLOAD_SIZE = 1_000_000
