--- a/shedsill/_cli/daemons.py
+++ b/shedsill/_cli/daemons.py
@@ -45,9 +45,9 @@
 
 def _configure_event_log(settings: dict[str, Any]) -> EventLog:
     level = check_choice("--log-level", settings["log_level"], LOG_LEVELS)
-    form = check_choice("--log-format", settings["log_format"], LOG_FORMATS)
+    log_format = check_choice("--log-format", settings["log_format"], LOG_FORMATS)
     sample = check_number("--log-sample", settings["log_sample"], 1, 1_000_000)
-    configure_logging(level=level, as_json=form == "json")
+    configure_logging(level=level, as_json=log_format == "json")
     return EventLog(node=settings["name"], level=level, sample=sample)
 
 
@@ -106,10 +106,10 @@
     )
     platform = HttpPlatform(check_url("--platform", settings["platform"]))
 
-    def make() -> Driver:
+    def create_driver() -> Driver:
         return Balancer(options, keys=keys, platform=platform, event_log=event_log)
 
-    sys.exit(asyncio.run(run_daemon(make, platform)))
+    sys.exit(asyncio.run(run_daemon(create_driver, platform)))
 
 
 @click.command()
@@ -228,7 +228,7 @@
     )
     certificates = CertificateLoader(settings["certificate"], settings["private_key"])
 
-    def make() -> Driver:
+    def create_driver() -> Driver:
         return Agent(
             options,
             keys=keys,
@@ -238,7 +238,7 @@
             certificates=certificates,
         )
 
-    sys.exit(asyncio.run(run_daemon(make, platform)))
+    sys.exit(asyncio.run(run_daemon(create_driver, platform)))
 
 
 def _parse_admission_settings(settings: dict[str, Any]) -> AdmissionSettings:
@@ -270,14 +270,14 @@
     create_driver : callable
         Makes the service inside the running loop.
     """
-    service = create_driver()
+    driver = create_driver()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, service.request_stop)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, driver.request_stop)
     try:
-        await service.start()
-        await service.exited.wait()
+        await driver.start()
+        await driver.exited.wait()
     finally:
-        await service.stop()
+        await driver.stop()
         await platform.close()
-    return EXIT_FAILED if service.failure or service.crashed else 0
+    return EXIT_FAILED if driver.failure or driver.crashed else 0
--- a/shedsill/_cli/operator.py
+++ b/shedsill/_cli/operator.py
@@ -139,7 +139,7 @@
             _print_value({"resource": name, "result": "valid"}, output)
         sys.exit(EXIT_OK)
 
-    async def work(client: Platform) -> int:
+    async def execute(client: Platform) -> int:
         for document in documents:
             code = await _apply_document(client, document, output, force=force)
             if code != EXIT_OK:
@@ -154,7 +154,7 @@
                 return code
         return EXIT_OK
 
-    run_with_platform(platform, work)
+    run_with_platform(platform, execute)
 
 
 async def _apply_document(
@@ -171,11 +171,11 @@
             shown = {"resource": name, "result": "unchanged", "version": version}
             _print_value(shown, output)
             return EXIT_OK
-        case VersionConflict(document_version=yours, current=current):
+        case VersionConflict(document_version=document_version, current=current):
             shown = {
                 "resource": name,
                 "result": "conflict",
-                "your_version": yours,
+                "your_version": document_version,
                 "your_spec": encode_spec(document.resource),
                 "stored": _get_resource_view(current, None) if current else None,
             }
@@ -243,7 +243,7 @@
     """Show resources of KIND, or the one named NAME, with status and version."""
     kind = _check_kind(kind)
 
-    async def work(client: Platform) -> int:
+    async def execute(client: Platform) -> int:
         listing = await client.call(List(kinds=(kind, STATUS_KIND)))
         if not isinstance(listing, Listing):
             click.echo(f"shedsill: {listing}", err=True)
@@ -263,7 +263,7 @@
             click.echo(yaml.safe_dump_all(found, sort_keys=False).rstrip())
         return EXIT_OK
 
-    run_with_platform(platform, work)
+    run_with_platform(platform, execute)
 
 
 @click.command()
@@ -280,7 +280,7 @@
     kind = _check_kind(kind)
     phases = FINAL_PHASES if kind == "change" else ACCEPTED_PHASES
 
-    async def work(client: Platform) -> int:
+    async def execute(client: Platform) -> int:
         document = await _find_document(client, kind, name)
         if document is None:
             click.echo(f"shedsill: there is no {kind} {name!r}", err=True)
@@ -289,7 +289,7 @@
             client, document, output, phases=phases, timeout=timeout
         )
 
-    run_with_platform(platform, work)
+    run_with_platform(platform, execute)
 
 
 async def _find_document(client: Platform, kind: str, name: str) -> Document | None:
@@ -311,7 +311,7 @@
     """Delete a resource; its upstreams drain before they are forgotten."""
     kind = _check_kind(kind)
 
-    async def work(client: Platform) -> int:
+    async def execute(client: Platform) -> int:
         read = await client.call(Get(kind=kind, name=name))
         if isinstance(read, Unavailable):
             click.echo(f"shedsill: {read.reason}", err=True)
@@ -335,7 +335,7 @@
                 click.echo(f"shedsill: {outcome}", err=True)
                 return EXIT_UNAVAILABLE
 
-    run_with_platform(platform, work)
+    run_with_platform(platform, execute)
 
 
 def _make_change(action: str, target: str) -> Document:
@@ -350,7 +350,7 @@
 def _submit_change(
     platform: str, output: str, document: Document, *, wait: bool, timeout: float
 ) -> None:
-    async def work(client: Platform) -> int:
+    async def execute(client: Platform) -> int:
         code = await _apply_document(client, document, output, force=False)
         if code != EXIT_OK or not wait:
             return code
@@ -358,7 +358,7 @@
             client, document, output, phases=FINAL_PHASES, timeout=timeout
         )
 
-    run_with_platform(platform, work)
+    run_with_platform(platform, execute)
 
 
 wait_option = click.option("--wait/--no-wait", default=True, show_default=True)
@@ -387,7 +387,7 @@
 def undrain(platform: str, upstream: str) -> None:
     """Give an upstream new work again, by deleting the change that drains it."""
 
-    async def work(client: Platform) -> int:
+    async def execute(client: Platform) -> int:
         name = f"drain-{upstream}"
         read = await client.call(Get(kind="change", name=name))
         if isinstance(read, Unavailable):
@@ -404,7 +404,7 @@
         click.echo(f"change/{name} deleted")
         return EXIT_OK
 
-    run_with_platform(platform, work)
+    run_with_platform(platform, execute)
 
 
 @click.command("stop-balancer")
@@ -438,7 +438,7 @@
 def status(platform: str, output: str) -> None:
     """Show the generation in force, on how many nodes, and each upstream."""
 
-    async def work(client: Platform) -> int:
+    async def execute(client: Platform) -> int:
         kinds = (STATUS_KIND, CONFIGURATION_KIND, NODE_KIND)
         listing = await client.call(List(kinds=kinds))
         if not isinstance(listing, Listing):
@@ -462,7 +462,7 @@
         _print_value(shown, output)
         return EXIT_OK
 
-    run_with_platform(platform, work)
+    run_with_platform(platform, execute)
 
 
 @click.command()
--- a/shedsill/_cli/quickstart.py
+++ b/shedsill/_cli/quickstart.py
@@ -69,21 +69,23 @@
 async def _run_demonstration(system) -> int:
     from shedsill.testing.client import open_client, wait_for_body
 
-    front = system.service_addresses[SERVICE]
-    async with open_client(front) as client:
+    address = system.service_addresses[SERVICE]
+    async with open_client(address) as client:
         stream_id, stream = client.send_request("GET", STREAM_PATH)
         claim = await client.request("POST", "/claim", body=b"job-1")
         click.echo(f"claim     {claim.status} {claim.body.decode().strip()}")
-        key = {"idempotency-key": claim.ticket}
-        first = await client.request("POST", "/claim", body=b"job-2", headers=key)
-        again = await client.request("POST", "/claim", body=b"job-2", headers=key)
-        same = first.body == again.body
-        click.echo(f"repeat    same answer, run once: {same}")
+        headers = {"idempotency-key": claim.ticket}
+        first = await client.request("POST", "/claim", body=b"job-2", headers=headers)
+        repeated = await client.request(
+            "POST", "/claim", body=b"job-2", headers=headers
+        )
+        same_body = first.body == repeated.body
+        click.echo(f"repeat    same answer, run once: {same_body}")
         await wait_for_body(stream, STREAM_BYTES)
         name = stream.body.split()[0].decode()
         drained = await _drain(system, name)
-        before = len(stream.body)
-        await wait_for_body(stream, before + STREAM_BYTES)
+        received_bytes = len(stream.body)
+        await wait_for_body(stream, received_bytes + STREAM_BYTES)
         refused = await client.request("POST", "/claim", body=b"job-3")
         click.echo(
             f"drain     {name}: stream still open: {not stream.is_interrupted}; "
@@ -91,13 +93,13 @@
         )
         survived = not stream.is_interrupted
         client.cancel(stream_id)
-    async with open_client(front) as client:
+    async with open_client(address) as client:
         moved = await client.request("POST", "/claim", body=b"job-3")
         click.echo(f"moved     {moved.status} {moved.body.decode().strip()}")
     done = await _wait_drained(system, name)
     click.echo(f"drained   {name}: {done}")
-    good = same and drained and done and survived and moved.status == 200
-    return EXIT_OK if good else EXIT_FAILED
+    succeeded = same_body and drained and done and survived and moved.status == 200
+    return EXIT_OK if succeeded else EXIT_FAILED
 
 
 async def _drain(system, name: str) -> bool:
@@ -123,15 +125,15 @@
 
 
 async def _serve(system) -> int:
-    front = system.service_addresses[SERVICE]
-    click.echo(f"service   {SERVICE} at {front} (HTTP/3)")
+    address = system.service_addresses[SERVICE]
+    click.echo(f"service   {SERVICE} at {address} (HTTP/3)")
     click.echo(f"platform  {system.platform_url}")
     for name, balancer in system.balancers.items():
         click.echo(f"control   {name} at http://{balancer.control.address}/status")
     click.echo("certificate (self-signed, for service.example):")
     click.echo(system.certificate.certificate.rstrip())
     click.echo("try:")
-    click.echo(f"  python -m shedsill.testing.request POST {front} /claim job-1")
+    click.echo(f"  python -m shedsill.testing.request POST {address} /claim job-1")
     click.echo(f"  shedsill status --platform {system.platform_url}")
     click.echo("ctrl-c ends it", nl=True)
     sys.stdout.flush()
--- a/shedsill/_cli/settings.py
+++ b/shedsill/_cli/settings.py
@@ -81,11 +81,11 @@
     return tuple(parse_address_setting(setting, part) for part in parts if part)
 
 
-def parse_cluster_secrets(secret: str, second: str) -> KeyRing:
+def parse_cluster_secrets(secret: str, second_secret: str) -> KeyRing:
     """Read the cluster secrets."""
     secrets = [parse_secret("--cluster-secret", secret)]
-    if second:
-        secrets.append(parse_secret("--second-secret", second))
+    if second_secret:
+        secrets.append(parse_secret("--second-secret", second_secret))
     return KeyRing(tuple(secrets))
 
 
@@ -96,10 +96,10 @@
     return value
 
 
-def check_number(setting: str, value: float, low: float, high: float) -> Any:
+def check_number(setting: str, value: float, minimum: float, maximum: float) -> Any:
     """Return a number within bounds."""
-    if not low <= value <= high:
-        raise SettingError(setting, value, f"a number from {low} to {high}")
+    if not minimum <= value <= maximum:
+        raise SettingError(setting, value, f"a number from {minimum} to {maximum}")
     return value
 
 
@@ -112,9 +112,9 @@
     Rate(per_second=50.0, burst=500.0)
     """
     allowed = "PER_SECOND/BURST, both above 0, such as 50/500"
-    first, _, second = text.partition("/")
+    per_second, _, burst = text.partition("/")
     try:
-        rate = Rate(per_second=float(first), burst=float(second))
+        rate = Rate(per_second=float(per_second), burst=float(burst))
     except ValueError:
         raise SettingError(setting, text, allowed) from None
     if rate.per_second <= 0 or rate.burst < 1:
@@ -132,7 +132,7 @@
 def generate_incarnation() -> int:
     """Draw the number of this start: grows with time, differs at each start."""
     seconds = int(time.time()) - INCARNATION_EPOCH_SECONDS
-    drawn = (seconds << INCARNATION_RANDOM_BITS) | random.SystemRandom().getrandbits(
-        INCARNATION_RANDOM_BITS
-    )
-    return drawn % INCARNATION_LIMIT
+    incarnation = (
+        seconds << INCARNATION_RANDOM_BITS
+    ) | random.SystemRandom().getrandbits(INCARNATION_RANDOM_BITS)
+    return incarnation % INCARNATION_LIMIT
--- a/shedsill/testing/check.py
+++ b/shedsill/testing/check.py
@@ -27,15 +27,15 @@
 def main() -> int:
     """Run the tests; return pytest's exit code."""
     root = pathlib.Path.cwd()
-    known = read_known_failures(root)
-    if len(known) > MAX_KNOWN_FAILURES:
+    known_failures = read_known_failures(root)
+    if len(known_failures) > MAX_KNOWN_FAILURES:
         print(
-            f"{KNOWN_FAILURES_FILE} lists {len(known)} tests; "
+            f"{KNOWN_FAILURES_FILE} lists {len(known_failures)} tests; "
             f"at most {MAX_KNOWN_FAILURES}"
         )
         return 1
     arguments = []
-    for line in known:
+    for line in known_failures:
         print(f"known red: {line}")
         arguments += ["--deselect", line.split("|")[0].strip()]
     return int(pytest.main([*arguments, *sys.argv[1:]]))
--- a/shedsill/testing/client.py
+++ b/shedsill/testing/client.py
@@ -97,15 +97,17 @@
         """Send a request; return its stream and the answer to come."""
         stream_id = self._quic.get_next_available_stream_id()
         response = self.responses[stream_id] = Response()
-        pairs = [
+        header_fields = [
             (b":method", method.encode()),
             (b":scheme", b"https"),
             (b":authority", b"service.example"),
             (b":path", path.encode()),
         ]
         for name, value in (headers or {}).items():
-            pairs.append((name.encode(), value.encode()))
-        self.http.send_headers(stream_id, pairs, end_stream=end_stream and not body)
+            header_fields.append((name.encode(), value.encode()))
+        self.http.send_headers(
+            stream_id, header_fields, end_stream=end_stream and not body
+        )
         if body:
             self.http.send_data(stream_id, body, end_stream=end_stream)
         self.transmit()
--- a/shedsill/testing/documents.py
+++ b/shedsill/testing/documents.py
@@ -71,9 +71,9 @@
             "classes": [dict(entry) for entry in REQUEST_CLASSES],
         }
         documents.append({"kind": "Service", "name": layout.name, "spec": spec})
-        members = [
+        upstreams = [
             {"name": name, "address": str(agents[name])} for name in layout.upstreams
         ]
-        spec = {"service": layout.name, "upstreams": members}
+        spec = {"service": layout.name, "upstreams": upstreams}
         documents.append({"kind": "UpstreamSet", "name": layout.name, "spec": spec})
     return yaml.safe_dump_all(documents, sort_keys=False)
--- a/shedsill/testing/invariants.py
+++ b/shedsill/testing/invariants.py
@@ -32,9 +32,9 @@
         for run in upstream.journal:
             if run.attempt.path == "/claim" and not run.shed:
                 runs.setdefault(run.attempt.job, []).append(run)
-    for work, found in runs.items():
-        if len(found) > 1:
-            raise InvariantError(f"{work} ran {len(found)} times")
+    for job, job_runs in runs.items():
+        if len(job_runs) > 1:
+            raise InvariantError(f"{job} ran {len(job_runs)} times")
     for attempt in attempts:
         if attempt.outcome == RequestOutcome.NOT_RUN and attempt.path == "/claim":
             _check_refused_attempt(attempt, runs.get(attempt.job, []))
--- a/shedsill/testing/mutant_node.py
+++ b/shedsill/testing/mutant_node.py
@@ -22,20 +22,20 @@
     """Write a wrong octet into each packet for an upstream."""
     encode = packets.HeaderCodec.encode_for_upstream
 
-    def encode_wrongly(self, packet, balancer: str) -> bytes:
+    def encode_corrupted(self, packet, balancer: str) -> bytes:
         data = encode(self, packet, balancer)
         return data[:27] + bytes([data[27] ^ 1]) + data[28:]
 
-    packets.HeaderCodec.encode_for_upstream = encode_wrongly
+    packets.HeaderCodec.encode_for_upstream = encode_corrupted
 
 
 def ignore_services() -> None:
     """Offer openings to upstreams of any service, and have agents take them."""
 
-    def offer_any(nodes, _service: str) -> list:
+    def list_any_upstreams(nodes, _service: str) -> list:
         return list(nodes.upstreams.values())
 
-    Nodes.list_service_upstreams = offer_any
+    Nodes.list_service_upstreams = list_any_upstreams
     _agent_packets.hash_service = lambda _service: 0
     packets.SERVICE = _ZeroServiceCodec()
 
@@ -54,11 +54,11 @@
     """Have a restarted agent deny every flow of before."""
     start = _agent.start_agent
 
-    def start_complete(state: _agent_state.AgentState, now: float) -> None:
+    def start_with_known_flows(state: _agent_state.AgentState, now: float) -> None:
         start(state, now)
         state.knows_all_flows = True
 
-    _agent.start_agent = start_complete
+    _agent.start_agent = start_with_known_flows
 
 
 def ignore_tables() -> None:
--- a/shedsill/testing/processes.py
+++ b/shedsill/testing/processes.py
@@ -205,26 +205,26 @@
     def run_command(self, *command: str, check: bool = True) -> str:
         """Run an operator's command and return its output."""
         environment = {**os.environ, "SHEDSILL_PLATFORM": self.platform_url}
-        done = subprocess.run(
+        result = subprocess.run(
             [sys.executable, "-m", "shedsill", *command],
             env=environment,
             capture_output=True,
             text=True,
             timeout=60,
         )
-        if check and done.returncode != 0:
-            raise AssertionError(f"{command}: {done.stdout}{done.stderr}")
-        return done.stdout
+        if check and result.returncode != 0:
+            raise AssertionError(f"{command}: {result.stdout}{result.stderr}")
+        return result.stdout
 
     async def _wait_for_url(self, url: str) -> dict[str, Any]:
-        end = time.monotonic() + START_TIMEOUT_SECONDS
+        deadline = time.monotonic() + START_TIMEOUT_SECONDS
         async with aiohttp.ClientSession() as session:
             while True:
                 with contextlib.suppress(aiohttp.ClientError, OSError):
                     async with session.get(url) as response:
                         if response.status == 200:
                             return {"text": await response.text()}
-                if time.monotonic() > end:
+                if time.monotonic() > deadline:
                     raise AssertionError(f"{url} did not answer")
                 await asyncio.sleep(0.05)
 
--- a/shedsill/testing/slow_server.py
+++ b/shedsill/testing/slow_server.py
@@ -29,7 +29,7 @@
         Further lines of the answer's head, each with its line end.
     """
 
-    async def answer(
+    async def handle_connection(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         await reader.readuntil(b"\r\n\r\n")
@@ -43,13 +43,13 @@
             await asyncio.sleep(pause)
             writer.write(part)
             await writer.drain()
-        await ended.wait()
+        await finished.wait()
         writer.close()
 
-    ended = asyncio.Event()
-    server = await asyncio.start_server(answer, "127.0.0.1", 0)
+    finished = asyncio.Event()
+    server = await asyncio.start_server(handle_connection, "127.0.0.1", 0)
     try:
         yield server.sockets[0].getsockname()[1]
     finally:
-        ended.set()
+        finished.set()
         server.close()
--- a/shedsill/tests/test_cli.py
+++ b/shedsill/tests/test_cli.py
@@ -21,14 +21,16 @@
 from shedsill.testing.ports import get_free_ports
 
 DOCS = pathlib.Path(__file__).parents[2] / "docs"
-SECRET = "ab" * 32
-BALANCER = {
+CLUSTER_SECRET = "ab" * 32
+BALANCER_OPTIONS = {
     "--name": "b1",
     "--address": "127.0.0.1:7000",
     "--platform": "http://127.0.0.1:1",
-    "--cluster-secret": SECRET,
+    "--cluster-secret": CLUSTER_SECRET,
 }
-SERVICE = "kind: Service\nname: intake\nspec: {address: '127.0.0.1:443', slots: %s}\n"
+SERVICE_DOCUMENT = (
+    "kind: Service\nname: intake\nspec: {address: '127.0.0.1:443', slots: %s}\n"
+)
 
 
 @pytest.fixture
@@ -51,8 +53,8 @@
     loop.close()
 
 
-def run(*arguments: str, text: str | None = None) -> Result:
-    return CliRunner().invoke(cli, arguments, input=text)
+def run_command(*arguments: str, stdin: str | None = None) -> Result:
+    return CliRunner().invoke(cli, arguments, input=stdin)
 
 
 @pytest.mark.parametrize(
@@ -70,50 +72,60 @@
 def test_bad_setting_is_named_with_its_value(
     setting: str, value: str, allowed: str
 ) -> None:
-    settings = {**BALANCER, setting: value}
-    result = run("balancer", *(part for pair in settings.items() for part in pair))
+    settings = {**BALANCER_OPTIONS, setting: value}
+    result = run_command(
+        "balancer", *(part for pair in settings.items() for part in pair)
+    )
     assert isinstance(result.exception, SettingError)
     assert setting in str(result.exception)
     assert allowed in str(result.exception)
 
 
 def test_version() -> None:
-    assert __version__ in run("--version").output
+    assert __version__ in run_command("--version").output
 
 
 def test_dry_run_checks_and_writes_nothing(platform_url: str) -> None:
-    good = run(
-        "apply", "--platform", platform_url, "--dry-run", "-f", "-", text=SERVICE % 3
+    valid = run_command(
+        "apply",
+        "--platform",
+        platform_url,
+        "--dry-run",
+        "-f",
+        "-",
+        stdin=SERVICE_DOCUMENT % 3,
     )
-    assert good.exit_code == 0
-    listed = run("get", "--platform", platform_url, "-o", "json", "service")
+    assert valid.exit_code == 0
+    listed = run_command("get", "--platform", platform_url, "-o", "json", "service")
     assert json.loads(listed.output) == []
-    bad = run("apply", "--platform", platform_url, "-f", "-", text=SERVICE % "x")
-    assert "spec.slots" in str(bad.exception)
-    assert "a whole number" in str(bad.exception)
+    invalid = run_command(
+        "apply", "--platform", platform_url, "-f", "-", stdin=SERVICE_DOCUMENT % "x"
+    )
+    assert "spec.slots" in str(invalid.exception)
+    assert "a whole number" in str(invalid.exception)
 
 
 def test_stale_edit_is_refused_with_both_versions(platform_url: str) -> None:
     options = ("apply", "--platform", platform_url, "-o", "json", "-f", "-")
-    first = json.loads(run(*options, text=SERVICE % 3).output)
+    first = json.loads(run_command(*options, stdin=SERVICE_DOCUMENT % 3).output)
     versioned = f"version: {first['version']}\n"
-    assert run(*options, text=versioned + SERVICE % 4).exit_code == 0
-    stale = run(*options, text=versioned + SERVICE % 5)
-    assert stale.exit_code == 3
-    shown = json.loads(stale.output)
-    assert shown["your_version"] == first["version"]
-    assert shown["your_spec"]["slots"] == 5
-    assert shown["stored"]["spec"]["slots"] == 4
-    assert run(*options, text=SERVICE % 4).exit_code == 0
+    assert run_command(*options, stdin=versioned + SERVICE_DOCUMENT % 4).exit_code == 0
+    edit = run_command(*options, stdin=versioned + SERVICE_DOCUMENT % 5)
+    assert edit.exit_code == 3
+    conflict = json.loads(edit.output)
+    assert conflict["your_version"] == first["version"]
+    assert conflict["your_spec"]["slots"] == 5
+    assert conflict["stored"]["spec"]["slots"] == 4
+    assert run_command(*options, stdin=SERVICE_DOCUMENT % 4).exit_code == 0
 
 
 def test_missing_resource_and_unreachable_platform_have_their_codes(
     platform_url: str,
 ) -> None:
-    missing = run("get", "--platform", platform_url, "service", "nope")
+    missing = run_command("get", "--platform", platform_url, "service", "nope")
     assert missing.exit_code == 1
-    away = run("get", "--platform", "http://127.0.0.1:9", "service")
-    assert away.exit_code == 5
+    unreachable = run_command("get", "--platform", "http://127.0.0.1:9", "service")
+    assert unreachable.exit_code == 5
 
 
 def test_events_page_is_the_catalogue() -> None:
