--- a/shedsill/_cli/__init__.py
+++ b/shedsill/_cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""Command-line interface."""
 
 from __future__ import annotations
 
@@ -32,8 +32,9 @@
 def cli() -> None:
     """Shedsill: a layer-4 load balancer for a few huge, fragile upstreams.
 
-    Every option can also be set by an environment variable: SHEDSILL_, the
-    command where it is `balancer` or `agent`, and the option's name.
+    Every option can also be set by an environment variable named
+    SHEDSILL_<COMMAND>_<OPTION>, such as SHEDSILL_AGENT_LOG_LEVEL.
+    Commands other than balancer and agent read --platform from SHEDSILL_PLATFORM.
     """
 
 
@@ -56,7 +57,7 @@
 
 
 def main() -> None:
-    """Run the command line; settings that are not allowed exit with 2."""
+    """Run the command line; exit with 2 if a setting or document is invalid."""
     try:
         cli(auto_envvar_prefix=ENVIRONMENT_PREFIX)
     except (SettingError, DocumentError) as error:
--- a/shedsill/_cli/daemons.py
+++ b/shedsill/_cli/daemons.py
@@ -1,4 +1,4 @@
-"""``shedsill balancer`` and ``shedsill agent``."""
+"""Commands that run a node: ``shedsill balancer`` and ``shedsill agent``."""
 
 from __future__ import annotations
 
@@ -56,33 +56,33 @@
 @click.option(
     "--service-host",
     default="",
-    help="IP number for service ports; default: each service's own address.",
+    help="IP address to bind service ports on; default: each service's own.",
 )
 @click.option(
     "--caller-rate",
     default="50/500",
     show_default=True,
-    help="New flows per caller IP number: PER_SECOND/BURST.",
+    help="Limit on new flows per caller IP address: PER_SECOND/BURST.",
 )
 @click.option(
     "--flow-rate",
     default="4000/8000",
     show_default=True,
-    help="New flows through this balancer: PER_SECOND/BURST.",
+    help="Limit on new flows per service at this balancer: PER_SECOND/BURST.",
 )
 @click.option(
     "--lease-time",
     type=float,
     default=LEASE_SECONDS,
     show_default=True,
-    help="Seconds after which a silent acceptor is replaced.",
+    help="Seconds after which a silent acceptor is replaced; 0.2 to 3600.",
 )
 @click.option(
     "--quiet",
     type=float,
     default=5.0,
     show_default=True,
-    help="Seconds without datagrams after which a planned stop ends.",
+    help="Seconds without datagrams that end a planned stop; 0.1 to 86400.",
 )
 def balancer(**settings: Any) -> None:
     """Run a balancer on an entry VM."""
@@ -114,87 +114,93 @@
 
 @click.command()
 @node_options
-@click.option("--service", required=True, help="Name of the upstream's service.")
 @click.option(
-    "--upstream", default="", help="Name of the upstream; default: the node's."
+    "--service", required=True, help="Name of the service that the upstream belongs to."
+)
+@click.option(
+    "--upstream", default="", help="Name of the upstream; default: the node's name."
+)
+@click.option(
+    "--upstream-url", required=True, help="HTTP URL of the upstream on this VM."
 )
-@click.option("--upstream-url", required=True, help="URL of the upstream beside it.")
 @click.option(
     "--load-path",
     default="/load",
     show_default=True,
-    help="Path that answers {busy: N}; read only after a start.",
+    help="Upstream path that answers {busy: N}; read only after a start.",
 )
 @click.option(
     "--shed-statuses",
     default="429,503",
     show_default=True,
-    help="Statuses by which the upstream says that it did not run a request.",
+    help="HTTP statuses, with commas, that mean a request was not run.",
 )
 @click.option(
-    "--certificate", required=True, help="PEM text, a file, or platform:NAME."
+    "--certificate",
+    required=True,
+    help="Certificate: PEM text, a file, or platform:NAME.",
 )
-@click.option("--private-key", default="", help="PEM text or a file.")
+@click.option("--private-key", default="", help="Private key: PEM text or a file.")
 @click.option(
     "--policy",
     default="two-candidates",
     show_default=True,
-    help="Who takes a new flow: two-candidates or hash.",
+    help="Placement policy for new flows: two-candidates or hash.",
 )
 @click.option(
     "--handshake-rate",
     default="100/200",
     show_default=True,
-    help="Above this, callers prove their address: PER_SECOND/BURST.",
+    help="Rate of new flows above which Retry is sent: PER_SECOND/BURST.",
 )
 @click.option(
     "--slow-start",
     type=float,
     default=10.0,
     show_default=True,
-    help="Seconds over which a new agent's share of flows grows.",
+    help="Seconds over which a new agent's share of flows grows; 0 to 3600.",
 )
 @click.option(
     "--drain-limit",
     type=float,
     default=0.0,
     show_default=True,
-    help="Seconds after which a planned stop ends anyway; 0: never.",
+    help="Seconds after which a planned stop ends with flows open; 0: never.",
 )
 @click.option(
     "--cancel-grace",
     type=float,
     default=0.2,
     show_default=True,
-    help="Seconds for which an aborted request keeps its slot.",
+    help="Seconds for which an aborted request keeps its slot; 0 to 60.",
 )
 @click.option(
     "--idle-span",
     type=float,
     default=1.0,
     show_default=True,
-    help="Seconds the upstream must be seen idle after a start.",
+    help="Seconds the upstream must be idle after a start; 0 to 3600.",
 )
 @click.option(
     "--breaker-failures",
     type=int,
     default=5,
     show_default=True,
-    help="Failures in a row after which no new work goes out.",
+    help="Consecutive failures that open the circuit breaker; 1 to 1000.",
 )
 @click.option(
     "--breaker-pause",
     type=float,
     default=2.0,
     show_default=True,
-    help="Seconds before one request tries a failed upstream.",
+    help="Seconds before an open breaker lets one request through; 0.05 to 3600.",
 )
 @click.option(
     "--retry-share",
     type=float,
     default=0.1,
     show_default=True,
-    help="Second attempts at the upstream allowed for each first one.",
+    help="Retries to the upstream allowed per first attempt; 0 to 1.",
 )
 def agent(**settings: Any) -> None:
     """Run the agent beside an upstream."""
@@ -259,16 +265,18 @@
     try:
         return frozenset(int(part) for part in text.split(",") if part.strip())
     except ValueError:
-        raise SettingError("--shed-statuses", text, "numbers, with commas") from None
+        raise SettingError(
+            "--shed-statuses", text, "numbers separated by commas"
+        ) from None
 
 
 async def run_daemon(create_driver: Any, platform: HttpPlatform) -> int:
-    """Run a service until its planned stop is complete; return the exit code.
+    """Run a node until its planned stop is complete; return the exit code.
 
     Parameters
     ----------
     create_driver : callable
-        Makes the service inside the running loop.
+        Creates the node's driver inside the running event loop.
     """
     driver = create_driver()
     loop = asyncio.get_running_loop()
--- a/shedsill/_cli/document_writer.py
+++ b/shedsill/_cli/document_writer.py
@@ -1,4 +1,4 @@
-"""Writing a resource on condition that nobody changed it meanwhile."""
+"""Conditional writes of resources to the platform."""
 
 from __future__ import annotations
 
@@ -25,21 +25,21 @@
 
 @frozen(kw_only=True)
 class Written:
-    """A resource was written."""
+    """The resource was stored."""
 
     version: int
 
 
 @frozen(kw_only=True)
 class Unchanged:
-    """The stored resource is already like that."""
+    """The stored resource already has this specification."""
 
     version: int
 
 
 @frozen(kw_only=True)
 class VersionConflict:
-    """The edit was made from another version than the one stored."""
+    """The document is based on another version than the stored one."""
 
     document_version: int | None
     current: StoredObject | None
@@ -47,7 +47,7 @@
 
 @frozen(kw_only=True)
 class Unconfirmed:
-    """The platform gave no answer, and reading back did not settle it."""
+    """It could not be confirmed whether the platform stored the resource."""
 
     reason: str
 
@@ -58,11 +58,16 @@
 async def write_document(
     client: Platform, document: Document, *, force: bool = False
 ) -> WriteResult:
-    """Write a resource on condition that nobody changed it meanwhile.
+    """Write a resource if its stored version is the one the document names.
 
-    A document without a version creates the resource, or leaves it alone when
-    it is already so.  A write whose answer was lost is recognised by its change
-    id when it is read back.
+    A document without a version only creates a resource.  If the stored
+    specification is already the same, nothing is written.  When the answer to a
+    write is lost, the resource is read back and its change id compared.
+
+    Parameters
+    ----------
+    force : bool
+        Replace whatever version is stored.
     """
     kind, name = get_kind(document.resource), document.resource.name
     change_id = secrets.token_hex(8)
@@ -104,4 +109,6 @@
         ):
             return Written(version=read.object.version)
         return Unconfirmed(reason="the write has not taken effect")
-    return Unconfirmed(reason="the platform does not answer; the write is unknown")
+    return Unconfirmed(
+        reason="the platform does not answer; the write may have taken effect"
+    )
--- a/shedsill/_cli/operator.py
+++ b/shedsill/_cli/operator.py
@@ -1,4 +1,4 @@
-"""Commands with which operators drive the system through the platform."""
+"""Operators' commands, which read and write resources on the platform."""
 
 from __future__ import annotations
 
@@ -73,7 +73,7 @@
 def run_with_platform(
     platform: str, command: Callable[[Platform], Awaitable[int]]
 ) -> None:
-    """Run a command against the platform and exit with its code."""
+    """Run a command with a client of the platform and exit with its code."""
     url = check_url("--platform", platform)
 
     async def run_with_client() -> int:
@@ -111,11 +111,18 @@
 @platform_option
 @output_option
 @click.option(
-    "-f", "--file", "source", type=click.File("r"), required=True, help="- for stdin."
+    "-f",
+    "--file",
+    "source",
+    type=click.File("r"),
+    required=True,
+    help="YAML or JSON documents; - for stdin.",
+)
+@click.option("--dry-run", is_flag=True, help="Check the documents and write nothing.")
+@click.option("--force", is_flag=True, help="Replace whatever version is stored.")
+@click.option(
+    "--wait/--no-wait", default=False, help="Wait until all resources are accepted."
 )
-@click.option("--dry-run", is_flag=True, help="Check the documents; write nothing.")
-@click.option("--force", is_flag=True, help="Overwrite whatever version is stored.")
-@click.option("--wait/--no-wait", default=False, help="Wait until it is accepted.")
 @click.option("--timeout", type=float, default=30.0, show_default=True)
 def apply(
     platform: str,
@@ -129,8 +136,8 @@
     """Write resources from YAML or JSON documents.
 
     All documents are checked before any is written.  A document that replaces a
-    resource carries the `version` that `get` showed; if the stored one is
-    another, nothing is written, both are shown, and the exit code is 3.
+    resource has to name the `version` that `get` showed.  If another version is
+    stored, the resource is not written, both are shown, and the exit code is 3.
     """
     documents = parse_documents(source.read())
     if dry_run:
@@ -196,7 +203,7 @@
     phases: tuple[str, ...],
     timeout: float,
 ) -> int:
-    """Show the status of a resource as it changes, until a phase is reached."""
+    """Print each new status of a resource until it reaches one of some phases."""
     kind, name = get_kind(document.resource), document.resource.name
     status_name = f"{kind}.{name}"
     backoff = Backoff(max_delay=1.0)
@@ -220,7 +227,7 @@
                 if phase in phases:
                     return EXIT_REJECTED if phase == "rejected" else EXIT_OK
     except TimeoutError:
-        click.echo(f"shedsill: {kind}/{name} not done in {timeout} s", err=True)
+        click.echo(f"shedsill: {kind}/{name} is not done after {timeout} s", err=True)
     return EXIT_FAILED
 
 
@@ -240,7 +247,7 @@
 @click.argument("kind")
 @click.argument("name", required=False)
 def get(platform: str, output: str, kind: str, name: str | None) -> None:
-    """Show resources of KIND, or the one named NAME, with status and version."""
+    """Show the resources of a KIND, or the one named NAME, with version and status."""
     kind = _check_kind(kind)
 
     async def execute(client: Platform) -> int:
@@ -271,9 +278,11 @@
 @output_option
 @click.argument("kind")
 @click.argument("name")
-@click.option("--timeout", type=float, default=0.0, help="Seconds; 0 for no limit.")
+@click.option(
+    "--timeout", type=float, default=0.0, help="Seconds to follow it; 0 for no limit."
+)
 def watch(platform: str, output: str, kind: str, name: str, timeout: float) -> None:
-    """Follow the status of a resource until it is done or rejected.
+    """Show each new status of a resource until it is done or rejected.
 
     A service or a set of upstreams is done when it is accepted.
     """
@@ -305,10 +314,10 @@
 @click.argument("kind")
 @click.argument("name")
 @click.option(
-    "--version", type=int, default=None, help="Delete only if this is stored."
+    "--version", type=int, default=None, help="Delete only if this version is stored."
 )
 def delete(platform: str, kind: str, name: str, version: int | None) -> None:
-    """Delete a resource; its upstreams drain before they are forgotten."""
+    """Delete a resource; its upstreams are drained before they are removed."""
     kind = _check_kind(kind)
 
     async def execute(client: Platform) -> int:
@@ -328,7 +337,9 @@
                 return EXIT_OK
             case Conflict(current=found):
                 stored = found.version if found else None
-                text = f"shedsill: conflict: yours {expected}, stored {stored}"
+                text = (
+                    f"shedsill: conflict: expected version {expected}, stored {stored}"
+                )
                 click.echo(text, err=True)
                 return EXIT_CONFLICT
             case _:
@@ -376,7 +387,7 @@
 def drain(
     platform: str, output: str, wait: bool, timeout: float, upstream: str
 ) -> None:
-    """Take an upstream out of new work and wait until its flows have ended."""
+    """Send an upstream no new work and wait until its open flows have ended."""
     document = _make_change("drain", upstream)
     _submit_change(platform, output, document, wait=wait, timeout=timeout)
 
@@ -385,7 +396,7 @@
 @platform_option
 @click.argument("upstream")
 def undrain(platform: str, upstream: str) -> None:
-    """Give an upstream new work again, by deleting the change that drains it."""
+    """Send an upstream new work again by deleting the change that drains it."""
 
     async def execute(client: Platform) -> int:
         name = f"drain-{upstream}"
@@ -416,7 +427,7 @@
 def stop_balancer(
     platform: str, output: str, wait: bool, timeout: float, balancer: str
 ) -> None:
-    """Stop a balancer once the fabric sends it no more packets."""
+    """Stop a balancer once it receives no more packets from the fabric."""
     document = _make_change("stop-balancer", balancer)
     _submit_change(platform, output, document, wait=wait, timeout=timeout)
 
@@ -427,7 +438,7 @@
 @wait_option
 @timeout_option
 def rotate_keys(platform: str, output: str, wait: bool, timeout: float) -> None:
-    """Mint connection IDs under the next key; open flows keep theirs."""
+    """Issue connection IDs under the next key; open flows keep their IDs."""
     document = _make_change("rotate-keys", "")
     _submit_change(platform, output, document, wait=wait, timeout=timeout)
 
@@ -436,7 +447,7 @@
 @platform_option
 @output_option
 def status(platform: str, output: str) -> None:
-    """Show the generation in force, on how many nodes, and each upstream."""
+    """Show the accepted generation, the cluster, each upstream and each node."""
 
     async def execute(client: Platform) -> int:
         kinds = (STATUS_KIND, CONFIGURATION_KIND, NODE_KIND)
@@ -468,7 +479,7 @@
 @click.command()
 @output_option
 def events(output: str) -> None:
-    """List the numbered log events."""
+    """List the log events with their numbers, levels and texts."""
     rows = [
         {
             "number": event.value.number,
--- a/shedsill/_cli/quickstart.py
+++ b/shedsill/_cli/quickstart.py
@@ -1,7 +1,7 @@
-"""``shedsill quickstart``: everything in one process, on loopback.
+"""Command ``shedsill quickstart``: the whole system in one process, on loopback.
 
-It applies a configuration, serves a claim and a stream through two balancers
-and three agents, drains an upstream under the stream, and says what happened.
+It applies a configuration, sends claims and a stream through two balancers and
+three agents, drains the upstream that serves the stream, and prints the results.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 @click.command()
-@click.option("--serve", is_flag=True, help="Stay up and print what to try.")
+@click.option("--serve", is_flag=True, help="Keep running and print commands to try.")
 @click.option(
     "--log-level",
     type=click.Choice(["TRACE", "DEBUG", "INFO", "WARNING", "ERROR"]),
@@ -31,13 +31,13 @@
     show_default=True,
 )
 def quickstart(serve: bool, log_level: str) -> None:
-    """Run the whole path in one process, with stand-ins around it."""
+    """Run the system in one process, with a test platform and test upstreams."""
     configure_logging(level=log_level, as_json=False)
     sys.exit(asyncio.run(_run(serve=serve, log_level=log_level)))
 
 
 async def _run(*, serve: bool, log_level: str) -> int:
-    # The stand-ins are for tests and this command alone; a daemon never loads them.
+    # Imported here so that balancers and agents do not load the testing modules.
     from shedsill.testing.documents import make_layout
     from shedsill.testing.embedded import EmbeddedSystem
 
@@ -63,7 +63,7 @@
         click.echo(f"applied   {kind} {document.resource.name}")
     await system.wait_ready()
     generation = next(iter(system.balancers.values())).get_status()["generation"]
-    click.echo(f"accepted  generation {generation}, in force on every node")
+    click.echo(f"accepted  generation {generation}, in force on all nodes")
 
 
 async def _run_demonstration(system) -> int:
@@ -135,7 +135,7 @@
     click.echo("try:")
     click.echo(f"  python -m shedsill.testing.request POST {address} /claim job-1")
     click.echo(f"  shedsill status --platform {system.platform_url}")
-    click.echo("ctrl-c ends it", nl=True)
+    click.echo("press ctrl-c to stop", nl=True)
     sys.stdout.flush()
     try:
         await asyncio.Event().wait()
