--- a/shedsill/testing/__init__.py
+++ b/shedsill/testing/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for what surrounds the system, and asserts that tests share."""
+"""Test doubles of the surrounding systems, simulations and shared test helpers."""
--- a/shedsill/testing/agents.py
+++ b/shedsill/testing/agents.py
@@ -1,4 +1,4 @@
-"""An agent's state, as the tests of its decisions begin with."""
+"""Initial states of datagram agents for unit tests."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 def make_agent_report(
     host: str = "10.1.0.1", *, service: str = "dispatcher", load: Load | None = None
 ) -> NodeReport:
-    """Return the report of an agent whose upstream takes flows."""
+    """Return the report of an agent whose upstream is ready."""
     return NodeReport(
         host=host,
         role=Role.AGENT,
@@ -25,7 +25,7 @@
 
 
 def make_agent_state(*, slots: int) -> AgentState:
-    """Return an agent that knows all flows of its upstream, of which there are none."""
+    """Return the state of an agent that knows its upstream has no flows."""
     return AgentState(
         report=make_agent_report(load=Load(slots=slots)),
         seeds=(),
--- a/shedsill/testing/certificates.py
+++ b/shedsill/testing/certificates.py
@@ -1,4 +1,4 @@
-"""Certificates for tests and the quickstart."""
+"""Self-signed certificates for tests and the quickstart."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def make_certificate(host_name: str = TEST_HOST_NAME) -> TestCertificate:
-    """Make a self-signed certificate."""
+    """Create a self-signed certificate, valid `VALIDITY` before and after now."""
     key = ec.generate_private_key(ec.SECP256R1())
     subject = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, host_name)])
     now = datetime.datetime.now(datetime.UTC)
--- a/shedsill/testing/check.py
+++ b/shedsill/testing/check.py
@@ -1,7 +1,7 @@
-"""The test command: every test but those that `KNOWN-RED.txt` lists.
+"""Runs all tests except the known failures listed in `KNOWN-RED.txt`.
 
-Run it with ``python -m shedsill.testing.check``.  Known failures are printed;
-each line of the file is a test's id, its cause and its issue, separated by
+Run it with ``python -m shedsill.testing.check``.  Known failures are printed.
+Each line of the file holds a test's id, its cause and its issue, separated by
 ``|``.
 """
 
@@ -17,7 +17,7 @@
 
 
 def read_known_failures(root: pathlib.Path) -> list[str]:
-    """Return the lines of the list of known failures."""
+    """Return the lines of the file of known failures; none if it is missing."""
     path = root / KNOWN_FAILURES_FILE
     if not path.exists():
         return []
@@ -36,7 +36,7 @@
         return 1
     arguments = []
     for line in known_failures:
-        print(f"known red: {line}")
+        print(f"known failure, not run: {line}")
         arguments += ["--deselect", line.split("|")[0].strip()]
     return int(pytest.main([*arguments, *sys.argv[1:]]))
 
--- a/shedsill/testing/client.py
+++ b/shedsill/testing/client.py
@@ -1,4 +1,4 @@
-"""An ordinary HTTP/3 client on aioquic, for tests and the quickstart."""
+"""HTTP/3 client based on aioquic, for tests and the quickstart."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
 @define
 class Response:
-    """An answer as it comes.
+    """A response, updated as its parts arrive.
 
     Attributes
     ----------
     is_complete : bool
-        Whether the end of the answer came.
+        Whether the end of the response arrived.
     is_interrupted : bool
-        Whether the stream was reset or the connection ended before.
+        Whether the stream was reset or the connection ended before its end.
     """
 
     status: int = 0
@@ -41,17 +41,17 @@
 
     @property
     def ticket(self) -> str:
-        """The ticket for a later request."""
+        """Ticket to send as the idempotency key of a later request."""
         return self.headers.get("shedsill-ticket", "")
 
     @property
     def outcome(self) -> str:
-        """What the system says became of the request."""
+        """Outcome that the agent reports for the request."""
         return self.headers.get("shedsill-outcome", "")
 
 
 class HttpClient(QuicConnectionProtocol):
-    """One HTTP/3 connection."""
+    """Client side of one HTTP/3 connection."""
 
     def __init__(self, *args: object, **kwargs: object) -> None:
         super().__init__(*args, **kwargs)  # type: ignore[arg-type]
@@ -59,7 +59,7 @@
         self.responses: dict[int, Response] = {}
 
     def quic_event_received(self, event: QuicEvent) -> None:
-        """Sort an event into its response."""
+        """Update the responses that an event concerns."""
         if isinstance(event, ConnectionTerminated):
             for response in self.responses.values():
                 response.is_interrupted = not response.is_complete
@@ -94,7 +94,7 @@
         headers: dict[str, str] | None = None,
         end_stream: bool = True,
     ) -> tuple[int, Response]:
-        """Send a request; return its stream and the answer to come."""
+        """Send a request; return its stream id and its response."""
         stream_id = self._quic.get_next_available_stream_id()
         response = self.responses[stream_id] = Response()
         header_fields = [
@@ -122,7 +122,7 @@
         headers: dict[str, str] | None = None,
         timeout: float = 20.0,
     ) -> Response:
-        """Send a request and wait for its whole answer, or its end."""
+        """Send a request and wait until its response is complete or interrupted."""
         _stream, response = self.send_request(method, path, body=body, headers=headers)
         async with asyncio.timeout(timeout):
             while not (response.is_complete or response.is_interrupted):
@@ -131,7 +131,7 @@
         return response
 
     def cancel(self, stream_id: int) -> None:
-        """Give a request up."""
+        """Reset the stream of a request."""
         with contextlib.suppress(Exception):
             self._quic.reset_stream(stream_id, 0x10C)
         self._quic.stop_stream(stream_id, 0x10C)
@@ -141,7 +141,7 @@
 async def wait_for_body(
     response: Response, min_bytes: int, timeout: float = 20.0
 ) -> None:
-    """Wait until an answer has at least this many octets, or has ended."""
+    """Wait until a body has at least this many bytes or the response has ended."""
     async with asyncio.timeout(timeout):
         while len(response.body) < min_bytes and not (
             response.is_complete or response.is_interrupted
@@ -154,7 +154,7 @@
 async def open_client(
     address: Address, *, idle_timeout: float = 60.0
 ) -> AsyncIterator[HttpClient]:
-    """Connect to a service address; certificates of stand-ins are not checked."""
+    """Connect to a service address without checking its certificate."""
     configuration = QuicConfiguration(
         is_client=True,
         alpn_protocols=["h3"],
--- a/shedsill/testing/documents.py
+++ b/shedsill/testing/documents.py
@@ -1,4 +1,4 @@
-"""The users' services as documents, for tests, benchmarks and the quickstart."""
+"""Resource documents of services, for tests, benchmarks and the quickstart."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @frozen(kw_only=True)
 class ServiceLayout:
-    """A service and the names of its upstreams."""
+    """A service, the names of its upstreams and its limits."""
 
     name: str
     upstreams: tuple[str, ...]
@@ -24,7 +24,7 @@
 
 
 def make_layout(name: str, *, count: int, slots: int) -> ServiceLayout:
-    """Return a layout whose upstreams are numbered from 1."""
+    """Return the layout of a service whose upstreams are numbered from 1."""
     return ServiceLayout(
         name=name, upstreams=_list_upstream_names(name, count), slots=slots
     )
@@ -52,14 +52,14 @@
     ports: dict[str, int],
     agents: dict[str, Address],
 ) -> str:
-    """Return the YAML documents of some services.
+    """Return the YAML documents of services and their upstream sets.
 
     Parameters
     ----------
     ports : dict of str to int
-        Port of each service at the balancers.
+        Port on which balancers listen, by service.
     agents : dict of str to Address
-        Address of the agent of each upstream.
+        Address of the agent, by upstream.
     """
     documents = []
     for layout in layouts:
--- a/shedsill/testing/invariants.py
+++ b/shedsill/testing/invariants.py
@@ -1,4 +1,4 @@
-"""What `Simulation` checks after every step."""
+"""Invariants that the HTTP/3 simulation checks after every step."""
 
 from __future__ import annotations
 
@@ -16,17 +16,19 @@
 
 
 def check_slot_limits(upstreams: Iterable[FakeUpstream]) -> None:
-    """Demand that no upstream works on more requests than its slots."""
+    """Raise if an upstream runs more requests than it has slots."""
     for upstream in upstreams:
         busy = len(upstream.list_running())
         if busy > upstream.slots:
-            raise InvariantError(f"{upstream.name} works on {busy} requests")
+            raise InvariantError(
+                f"{upstream.name} runs {busy} requests, more than its slots"
+            )
 
 
 def check_claim_runs(
     upstreams: Iterable[FakeUpstream], attempts: Iterable[Attempt]
 ) -> None:
-    """Demand that no claim ran twice, and none that was refused."""
+    """Raise if a claim ran twice, or ran although it was refused."""
     runs: dict[str, list[UpstreamRun]] = {}
     for upstream in upstreams:
         for run in upstream.journal:
@@ -44,15 +46,17 @@
     for run in runs:
         same_key = run.attempt.key == attempt.key
         if same_key or run.attempt.sent_position <= attempt.answered_position:
-            raise InvariantError(f"{attempt.job} was refused, yet ran")
+            raise InvariantError(f"{attempt.job} ran although it was refused")
 
 
 def check_generations(
     processes: Iterable[FakeProcess], accepted: dict[int, Configuration]
 ) -> None:
-    """Demand that a generation has one content, wherever it is in force."""
+    """Raise if two nodes hold different configurations of one generation."""
     for process in processes:
         configuration = process.state.node.configuration
         known = accepted.setdefault(configuration.generation, configuration)
         if known != configuration:
-            raise InvariantError(f"generation {configuration.generation} exists twice")
+            raise InvariantError(
+                f"generation {configuration.generation} has two configurations"
+            )
--- a/shedsill/testing/mutant_node.py
+++ b/shedsill/testing/mutant_node.py
@@ -1,7 +1,7 @@
-"""Nodes with one guard taken out, to show that the soak can fail.
+"""Mutants of nodes, which show that the soak test detects faults.
 
-``python -m shedsill.testing.mutant_node GUARD balancer|agent`` runs a node as
-``python -m shedsill.platform`` does, without the guard.  Nothing else uses it.
+``python -m shedsill.testing.mutant_node MUTATION balancer|agent`` runs a node as
+``python -m shedsill.platform`` does, with one of `MUTATIONS` applied.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 def corrupt_payloads() -> None:
-    """Write a wrong octet into each packet for an upstream."""
+    """Change one byte of each packet for an upstream."""
     encode = packets.HeaderCodec.encode_for_upstream
 
     def encode_corrupted(self, packet, balancer: str) -> bytes:
@@ -30,7 +30,7 @@
 
 
 def ignore_services() -> None:
-    """Offer openings to upstreams of any service, and have agents take them."""
+    """Offer flows to upstreams of any service, and let agents accept them."""
 
     def list_any_upstreams(nodes, _service: str) -> list:
         return list(nodes.upstreams.values())
@@ -41,7 +41,7 @@
 
 
 class _ZeroServiceCodec:
-    """Stands for the struct that packs a service's number."""
+    """Replaces the struct that encodes a service's number."""
 
     def pack(self, _number: int) -> bytes:
         return bytes(4)
@@ -51,7 +51,7 @@
 
 
 def deny_earlier_flows() -> None:
-    """Have a restarted agent deny every flow of before."""
+    """Let a restarted agent claim to know all flows, so that it denies earlier ones."""
     start = _agent.start_agent
 
     def start_with_known_flows(state: _agent_state.AgentState, now: float) -> None:
@@ -62,14 +62,14 @@
 
 
 def ignore_tables() -> None:
-    """Have a restarted balancer put no configuration in force."""
+    """Let a restarted balancer ignore every table."""
     settings = json.loads(pathlib.Path(os.environ["SHEDSILL_BOOT"]).read_text())
     if not settings["bootstrap"]:
         _balancer.handle_table = lambda _state, _event: []
 
 
 def break_flow_expiry() -> None:
-    """Have agents end when they first forget a flow."""
+    """Let agents crash when they first expire a flow."""
     _agent.CLOSED_FLOW_SECONDS = None
     _agent.HALF_OPEN_TIMEOUT_SECONDS = "soon"
 
--- a/shedsill/testing/node_settings.py
+++ b/shedsill/testing/node_settings.py
@@ -1,4 +1,4 @@
-"""Settings for nodes that tests start in their own process."""
+"""Settings of datagram nodes that tests run in their own process."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 __all__ = ["NODE_PORT_COUNT", "make_node_settings"]
 
 NODE_PORT_COUNT = 4
-"""Ports that every node needs: packets, messages, other nodes' packets, status."""
+"""Ports per node: packets, messages, packets of other nodes, and status."""
 
 
 def make_node_settings(
@@ -22,7 +22,7 @@
     Parameters
     ----------
     ports : list of int
-        At least `NODE_PORT_COUNT` free ones.
+        At least `NODE_PORT_COUNT` free ports.
     **fields
         Other fields of `NodeSettings`.
     """
--- a/shedsill/testing/ports.py
+++ b/shedsill/testing/ports.py
@@ -1,8 +1,8 @@
-"""Free ports on loopback, below those that the kernel hands out.
+"""Free ports on loopback, below the kernel's ephemeral range.
 
-A port from the kernel's own range could be taken by any outgoing connection, or
-by another test, between being found free and being used.  Each worker of a test
-run has a range of its own.
+A port of the ephemeral range could be taken by an outgoing connection before the
+test binds it.  Each pytest-xdist worker has its own range.  Other processes share
+one, which they search from an offset that depends on their process id.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 def get_free_ports(count: int) -> list[int]:
-    """Return free loopback ports, for UDP and TCP alike."""
+    """Return ports that are free for both UDP and TCP."""
     first, length = _get_range()
     ports: list[int] = []
     for _ in range(length):
@@ -32,7 +32,7 @@
             ports.append(port)
         if len(ports) == count:
             return ports
-    raise OSError(f"no {count} free ports from {first} to {first + length}")
+    raise OSError(f"fewer than {count} free ports from {first} to {first + length}")
 
 
 def _get_range() -> tuple[int, int]:
--- a/shedsill/testing/processes.py
+++ b/shedsill/testing/processes.py
@@ -1,7 +1,4 @@
-"""Starts the system as separate processes on loopback, for tests.
-
-Only tests start processes; no process of the system starts another.
-"""
+"""Runs the system as separate processes on loopback, for tests and benchmarks."""
 
 from __future__ import annotations
 
@@ -30,32 +27,32 @@
 
 @define
 class Process:
-    """One started process."""
+    """A started process and its log file."""
 
     name: str
     handle: subprocess.Popen
     log: Any
 
     def send_signal(self, signal_number: int) -> None:
-        """Send a signal to this process alone."""
+        """Send a signal to the process if it is still running."""
         if self.handle.poll() is None:
             os.kill(self.handle.pid, signal_number)
 
     def wait(self, timeout: float = STOP_TIMEOUT_SECONDS) -> int:
-        """Wait for the process to end; return its exit code."""
+        """Wait until the process exits; return its exit code."""
         return self.handle.wait(timeout)
 
 
 @define
 class Cluster:
-    """The processes of one test and where to reach them.
+    """The processes of one test and their addresses.
 
     Attributes
     ----------
     layouts : tuple of ServiceLayout
-        Services with their upstreams.
+        Services and their upstreams.
     service_addresses : dict of str to Address
-        Where callers reach each service, at the fabric.
+        Address of each service at the fabric, for callers.
     """
 
     layouts: tuple[ServiceLayout, ...]
@@ -75,7 +72,7 @@
     _service_ports: dict[str, int] = field(factory=dict)
 
     def start(self) -> None:
-        """Start everything and wait until it can serve."""
+        """Start all processes, apply the documents and wait until nodes are ready."""
         self._assign_addresses()
         self._start_platform()
         for name, address in self.balancer_addresses.items():
@@ -139,7 +136,7 @@
         self.start_process("fabric", *command, "--control", control)
 
     def start_balancer(self, name: str, address: Address) -> None:
-        """Start, or start again, a balancer."""
+        """Start or restart a balancer."""
         options = [
             "--service-host",
             address.host,
@@ -148,7 +145,7 @@
         self._start_node("balancer", name, address, options)
 
     def start_upstream(self, name: str) -> None:
-        """Start, or start again, an upstream stand-in."""
+        """Start or restart the stand-in of an upstream."""
         port = self.upstream_urls[name].rpartition(":")[2]
         command = ["-m", "shedsill.testing.upstream", "--name", name, "--port", port]
         self.start_process(
@@ -156,7 +153,7 @@
         )
 
     def start_agent(self, name: str) -> None:
-        """Start, or start again, the agent beside an upstream."""
+        """Start or restart the agent of an upstream."""
         assert self.certificate is not None
         options = [
             "--service",
@@ -194,7 +191,7 @@
         )
 
     def start_process(self, name: str, *command: str) -> Process:
-        """Start one Python process; its output goes to a file of its name."""
+        """Start a Python process; its output is appended to ``NAME.log``."""
         log = open(os.path.join(self.directory, f"{name}.log"), "ab")  # noqa: SIM115
         handle = subprocess.Popen(
             [sys.executable, *command], stdout=log, stderr=log, stdin=subprocess.DEVNULL
@@ -203,7 +200,7 @@
         return process
 
     def run_command(self, *command: str, check: bool = True) -> str:
-        """Run an operator's command and return its output."""
+        """Run a command of the command line and return its output."""
         environment = {**os.environ, "SHEDSILL_PLATFORM": self.platform_url}
         result = subprocess.run(
             [sys.executable, "-m", "shedsill", *command],
@@ -225,24 +222,26 @@
                         if response.status == 200:
                             return {"text": await response.text()}
                 if time.monotonic() > deadline:
-                    raise AssertionError(f"{url} did not answer")
+                    raise AssertionError(
+                        f"{url} did not answer 200 within {START_TIMEOUT_SECONDS} s"
+                    )
                 await asyncio.sleep(0.05)
 
     async def wait_ready(self, *names: str) -> None:
-        """Wait until nodes say that they are ready; all of them by default."""
+        """Wait until the named nodes, or all nodes, are ready."""
         addresses = {**self.balancer_addresses, **self.agent_addresses}
         for name in names or tuple(addresses):
             await self._wait_for_url(f"http://{addresses[name]}/readyz")
 
     async def fetch_json(self, url: str, *, body: Any = None) -> dict[str, Any]:
-        """Get or post JSON to a stand-in or a node."""
+        """Send a GET, or a POST with a JSON body, and return the JSON response."""
         async with aiohttp.ClientSession() as session:
             method = "GET" if body is None else "POST"
             async with session.request(method, url, json=body) as response:
                 return await response.json()
 
     async def read_journals(self, service: str) -> list[dict[str, Any]]:
-        """Return all that ran on the upstreams of a service."""
+        """Return the journal entries of all upstreams of a service."""
         entries = []
         for name, owner in self.service_by_upstream.items():
             if owner == service:
@@ -251,7 +250,7 @@
         return entries
 
     def stop(self) -> None:
-        """End all processes that this cluster started."""
+        """Kill all processes that this cluster started."""
         for process in self.processes.values():
             process.send_signal(signal.SIGCONT)
             process.send_signal(signal.SIGKILL)
@@ -262,7 +261,7 @@
 
 @contextlib.contextmanager
 def run_cluster(cluster: Cluster) -> Iterator[Cluster]:
-    """Start a cluster and end it afterwards."""
+    """Start a cluster and stop it on exit."""
     try:
         cluster.start()
         yield cluster
--- a/shedsill/testing/request.py
+++ b/shedsill/testing/request.py
@@ -1,4 +1,4 @@
-"""Send one HTTP/3 request from the command line."""
+"""Sends one HTTP/3 request from the command line."""
 
 from __future__ import annotations
 
@@ -26,9 +26,13 @@
 @click.argument("address")
 @click.argument("path")
 @click.argument("body", default="")
-@click.option("--key", default="", help="A ticket from an earlier answer.")
+@click.option(
+    "--key",
+    default="",
+    help="Idempotency key, such as the ticket of an earlier response.",
+)
 def main(method: str, address: str, path: str, body: str, key: str) -> None:
-    """Send one request to a service address and show the answer."""
+    """Send one request to a service address and print the response."""
     asyncio.run(_send(method, address, path, body, key))
 
 
--- a/shedsill/testing/simulation_parts.py
+++ b/shedsill/testing/simulation_parts.py
@@ -1,4 +1,4 @@
-"""The parts of a `Simulation`: callers, agents' flows, upstreams and messages."""
+"""Records of the HTTP/3 simulation: callers, flows, upstreams and messages."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 
 
 class InvariantError(AssertionError):
-    """A promise of the system does not hold."""
+    """An invariant of the system does not hold."""
 
 
 @define(eq=False)
 class Attempt:
-    """One sending of a request by a caller.
+    """One request that a caller sent, possibly repeating an earlier one.
 
     Attributes
     ----------
     job : str
-        The piece of work; several attempts may ask for the same one.
+        Identifies what is requested; several attempts may have the same one.
     sent_position, answered_position : int
-        Places in the order of all that happened; time may stand still.
+        Positions in the order of all events, as several may share a time.
     """
 
     number: int
@@ -50,7 +50,7 @@
 
 @define(eq=False)
 class CallerFlow:
-    """A caller's connection."""
+    """Caller's side of a connection."""
 
     number: int
     service: str
@@ -65,7 +65,7 @@
 
 @frozen
 class FlowAccepted:
-    """The agent's answer to a first packet."""
+    """Agent's reply to the first packet of a flow."""
 
     flow: CallerFlow
     cid: bytes
@@ -74,7 +74,7 @@
 
 @frozen
 class AttemptAnswer:
-    """The final answer to an attempt."""
+    """Final answer to an attempt."""
 
     attempt: Attempt
     outcome: RequestOutcome
@@ -85,7 +85,7 @@
 
 @define(eq=False)
 class AgentFlow:
-    """An agent's side of a connection."""
+    """Agent's side of a connection."""
 
     number: int
     caller_flow: CallerFlow
@@ -96,7 +96,7 @@
 
 @define(eq=False)
 class Exchange:
-    """A request at an agent: from a flow, or from a peer's call."""
+    """A request at an agent, received from a flow or from another agent."""
 
     number: int
     attempt: Attempt
@@ -106,7 +106,7 @@
 
 @define(eq=False)
 class UpstreamRun:
-    """One piece of work at an upstream."""
+    """One run of a request at an upstream."""
 
     attempt: Attempt
     agent: str
@@ -120,7 +120,7 @@
 
 @frozen
 class PendingCancel:
-    """A closed connection that the upstream will notice at a time."""
+    """A closed connection and when the upstream notices that it is closed."""
 
     run: UpstreamRun
     due_at: float
@@ -128,7 +128,7 @@
 
 @define(eq=False)
 class FakeUpstream:
-    """An upstream with a journal; survives its agent."""
+    """An upstream that records what it runs; it outlives its agent."""
 
     name: str
     service: str
@@ -138,13 +138,13 @@
     reports_idle: bool = False
 
     def list_running(self) -> list[UpstreamRun]:
-        """Return the work in slots."""
+        """Return the runs that take slots; streams take none."""
         return [r for r in self.journal if r.is_running and r.attempt.path != "/stream"]
 
 
 @define(eq=False)
 class FakeProcess:
-    """A node's process: its state, and what the runtime would keep."""
+    """A node's process: its state and what its runtime holds."""
 
     name: str
     address: Address
@@ -160,7 +160,7 @@
 
 @define(eq=False)
 class CallerDatagram:
-    """A caller's datagram on its way to some balancer."""
+    """A caller's datagram in transit to any balancer."""
 
     flow: CallerFlow
     datagram: bytes
@@ -168,7 +168,7 @@
 
 @define(eq=False)
 class FrameMessage:
-    """A frame between nodes."""
+    """A frame in transit between nodes."""
 
     source: Address
     destination: Address
@@ -177,14 +177,14 @@
 
 @define(eq=False)
 class CallerReply:
-    """A datagram on its way to a caller."""
+    """A datagram in transit to a caller."""
 
     payload: int
 
 
 @define(eq=False)
 class PlatformMessage:
-    """A call of the platform."""
+    """A call of the platform that is not answered yet."""
 
     node: str
     incarnation: int
@@ -196,7 +196,7 @@
 
 @define(eq=False)
 class PullMessage:
-    """A pull of a peer's configuration."""
+    """A request for a peer's configuration."""
 
     node: str
     peer: Address
@@ -204,7 +204,7 @@
 
 @define(eq=False)
 class PeerCall:
-    """A request passed to another agent, or its answer on the way back."""
+    """A request forwarded to another agent, or its answer in transit back."""
 
     node: str
     request: int
@@ -218,7 +218,7 @@
 
 @define(eq=False)
 class HandoverCall:
-    """A record on its way to a successor, or the word that it was taken."""
+    """A record of outcomes in transit to a successor, or its acknowledgement."""
 
     node: str
     peer: Address
--- a/shedsill/testing/slow_server.py
+++ b/shedsill/testing/slow_server.py
@@ -1,4 +1,4 @@
-"""An HTTP server whose answers come in parts with pauses between them."""
+"""HTTP server that sends its responses in parts, with pauses between them."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
     sent_count: int | None = None,
     extra_headers: str = "",
 ) -> AsyncIterator[int]:
-    """Answer each connection's one call with some parts; yield the port.
+    """Serve one slow response per connection; yield the port.
 
     Parameters
     ----------
     pause : float
         Seconds before each part.
     sent_count : int or None
-        How many of the parts that the head announces are sent; None for all.
+        Number of parts to send; None for all.  ``Content-Length`` counts all.
     extra_headers : str
-        Further lines of the answer's head, each with its line end.
+        Further header lines, each with its line ending.
     """
 
     async def handle_connection(
--- a/shedsill/testing/upstream.py
+++ b/shedsill/testing/upstream.py
@@ -1,15 +1,12 @@
-"""A stand-in for an upstream: claims, streams, uploads, and a journal.
+"""Stand-in for an upstream, with claims, streams, uploads and a journal.
 
 Run it with ``python -m shedsill.testing.upstream --name NAME --port PORT``.
 
-``POST /claim`` takes ``work`` seconds and names the claim in its body;
-``GET /stream`` sends a line every ``interval`` seconds, ``count`` of them or
-without end; ``POST /upload`` answers the number of octets.  ``GET /journal``
-lists what ran, ``GET /load`` says how many requests are at work, and ``POST
-/faults`` switches ``shed``, ``lie_idle``, ``slow`` (seconds added), ``cut``
-(answers end early), ``fail`` (status 500),
-``odd`` (a header beyond ASCII) and ``cold`` (seconds from now during
-which work takes four times as long).
+``POST /claim`` takes ``--work`` seconds; its body names the claim.  ``GET
+/stream`` sends a line every ``interval`` seconds, ``count`` of them or without
+end.  ``POST /upload`` answers with the number of bytes received.  ``GET
+/journal`` lists the requests that ran, ``GET /load`` returns the number of
+running requests, and ``POST /faults`` sets the fields of `UpstreamFaults`.
 """
 
 from __future__ import annotations
@@ -28,7 +25,25 @@
 
 @define
 class UpstreamFaults:
-    """Faults that can be switched on."""
+    """Faults that ``POST /faults`` injects.
+
+    Attributes
+    ----------
+    shed : bool
+        Whether claims and uploads are answered with 503 and not run.
+    lie_idle : bool
+        Whether ``GET /load`` returns 0 while requests run.
+    slow : float
+        Seconds added to each claim.
+    cut : bool
+        Whether the connection is aborted halfway through a claim's response.
+    fail : bool
+        Whether claims are answered with 500 after they ran.
+    odd : bool
+        Whether claims are answered with a header beyond ASCII.
+    cold : float
+        Seconds from now during which claims take `COLD_SLOWDOWN` times as long.
+    """
 
     shed: bool = False
     lie_idle: bool = False
@@ -41,7 +56,7 @@
 
 @define
 class JournalEntry:
-    """One request that ran."""
+    """A request that ran or is running."""
 
     path: str
     body: str
@@ -51,7 +66,7 @@
 
 @define
 class UpstreamStandIn:
-    """The stand-in's state and handlers."""
+    """State and request handlers of the stand-in."""
 
     name: str
     work_seconds: float = 0.02
@@ -182,7 +197,7 @@
 
 
 async def serve_upstream(stand_in: UpstreamStandIn, port: int) -> web.AppRunner:
-    """Serve a stand-in on loopback; a dropped connection cancels its request."""
+    """Serve a stand-in on loopback; a closed connection cancels its request."""
     runner = web.AppRunner(
         stand_in.make_app(),
         access_log=None,
@@ -204,7 +219,7 @@
 @click.option("--port", type=int, required=True)
 @click.option("--work", type=float, default=0.02, show_default=True)
 def main(name: str, port: int, work: float) -> None:
-    """Run the upstream stand-in."""
+    """Run a stand-in for an upstream."""
     asyncio.run(_run(name, port, work))
 
 
