--- a/shedsill/tests/test_cli.py
+++ b/shedsill/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""Settings, documents, conflicts, exit codes, and the pages held to the code."""
+"""Commands: invalid settings, conflicts, exit codes, and pages that list the code."""
 
 from __future__ import annotations
 
@@ -69,7 +69,7 @@
         ("--lease-time", "0", "a number from 0.2"),
     ],
 )
-def test_bad_setting_is_named_with_its_value(
+def test_invalid_setting_raises_error_with_allowed_values(
     setting: str, value: str, allowed: str
 ) -> None:
     settings = {**BALANCER_OPTIONS, setting: value}
@@ -81,11 +81,11 @@
     assert allowed in str(result.exception)
 
 
-def test_version() -> None:
+def test_version_option_prints_version() -> None:
     assert __version__ in run_command("--version").output
 
 
-def test_dry_run_checks_and_writes_nothing(platform_url: str) -> None:
+def test_dry_run_writes_nothing_and_invalid_field_is_named(platform_url: str) -> None:
     valid = run_command(
         "apply",
         "--platform",
@@ -105,7 +105,9 @@
     assert "a whole number" in str(invalid.exception)
 
 
-def test_stale_edit_is_refused_with_both_versions(platform_url: str) -> None:
+def test_edit_of_earlier_version_exits_with_conflict_and_shows_both(
+    platform_url: str,
+) -> None:
     options = ("apply", "--platform", platform_url, "-o", "json", "-f", "-")
     first = json.loads(run_command(*options, stdin=SERVICE_DOCUMENT % 3).output)
     versioned = f"version: {first['version']}\n"
@@ -119,7 +121,7 @@
     assert run_command(*options, stdin=SERVICE_DOCUMENT % 4).exit_code == 0
 
 
-def test_missing_resource_and_unreachable_platform_have_their_codes(
+def test_missing_resource_and_unreachable_platform_have_own_exit_codes(
     platform_url: str,
 ) -> None:
     missing = run_command("get", "--platform", platform_url, "service", "nope")
@@ -128,7 +130,7 @@
     assert unreachable.exit_code == 5
 
 
-def test_events_page_is_the_catalogue() -> None:
+def test_events_page_lists_all_log_events() -> None:
     page = (DOCS / "events.md").read_text()
     for event in LogEvent:
         entry = event.value
@@ -139,7 +141,7 @@
     assert len(set(numbers)) == len(numbers)
 
 
-def test_settings_page_has_every_setting() -> None:
+def test_settings_page_lists_all_options() -> None:
     page = (DOCS / "settings.md").read_text()
     for command in (balancer, agent):
         for parameter in command.params:
--- a/shedsill/tests/test_processes.py
+++ b/shedsill/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""The whole path through separate processes."""
+"""Requests through fabric, balancer and agent, each in a process of its own."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
         (LJUBLJANA_LAYOUTS, "watchtower", "ledger"),
     ],
 )
-def test_serves_stream_claim_and_upload(
+def test_stream_claim_and_upload_are_served(
     layouts: tuple[ServiceLayout, ...],
     claim_service: str,
     upload_service: str,
--- a/shedsill/tests/test_quickstart.py
+++ b/shedsill/tests/test_quickstart.py
@@ -1,4 +1,4 @@
-"""The quickstart, as a user runs it."""
+"""The quickstart command, run in a process of its own."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import sys
 
 
-def test_quickstart_shows_a_drain_and_exits_with_0() -> None:
+def test_quickstart_drains_upstream_and_exits_with_0() -> None:
     result = subprocess.run(
         [sys.executable, "-m", "shedsill", "quickstart"],
         capture_output=True,
