--- a/shedsill/_cli/operator.py
+++ b/shedsill/_cli/operator.py
@@ -96,15 +96,15 @@
 def _get_resource_view(
     item: StoredObject, status: StoredObject | None
 ) -> dict[str, Any]:
-    shown = {
+    view = {
         "kind": item.kind,
         "name": item.name,
         "version": item.version,
         "spec": item.value.get("spec", item.value),
     }
     if status is not None:
-        shown["status"] = status.value
-    return shown
+        view["status"] = status.value
+    return view
 
 
 @click.command()
@@ -171,22 +171,22 @@
     result = await write_document(client, document, force=force)
     match result:
         case Written(version=version):
-            shown = {"resource": name, "result": "written", "version": version}
-            _print_value(shown, output)
+            view = {"resource": name, "result": "written", "version": version}
+            _print_value(view, output)
             return EXIT_OK
         case Unchanged(version=version):
-            shown = {"resource": name, "result": "unchanged", "version": version}
-            _print_value(shown, output)
+            view = {"resource": name, "result": "unchanged", "version": version}
+            _print_value(view, output)
             return EXIT_OK
         case VersionConflict(document_version=document_version, current=current):
-            shown = {
+            view = {
                 "resource": name,
                 "result": "conflict",
                 "your_version": document_version,
                 "your_spec": encode_spec(document.resource),
                 "stored": _get_resource_view(current, None) if current else None,
             }
-            _print_value(shown, output)
+            _print_value(view, output)
             return EXIT_CONFLICT
         case Unconfirmed(reason=reason):
             _print_value(
@@ -215,15 +215,17 @@
             ):
                 index = {(o.kind, o.name): o for o in listing.objects}
                 item = index.get((kind, name))
-                found = index.get((STATUS_KIND, status_name))
-                if item is None or found is None:
+                current_status = index.get((STATUS_KIND, status_name))
+                if item is None or current_status is None:
                     continue
-                if found.value.get("observed_version") != item.version:
+                if current_status.value.get("observed_version") != item.version:
                     continue
-                if found.value != last:
-                    last = found.value
-                    _print_value({"resource": f"{kind}/{name}", **found.value}, output)
-                phase = str(found.value.get("phase"))
+                if current_status.value != last:
+                    last = current_status.value
+                    _print_value(
+                        {"resource": f"{kind}/{name}", **current_status.value}, output
+                    )
+                phase = str(current_status.value.get("phase"))
                 if phase in phases:
                     return EXIT_REJECTED if phase == "rejected" else EXIT_OK
     except TimeoutError:
@@ -256,18 +258,18 @@
             click.echo(f"shedsill: {listing}", err=True)
             return EXIT_UNAVAILABLE
         index = {(o.kind, o.name): o for o in listing.objects}
-        found = [
+        matches = [
             _get_resource_view(item, index.get((STATUS_KIND, f"{kind}.{item.name}")))
             for item in listing.objects
             if item.kind == kind and name in (None, item.name)
         ]
-        if name is not None and not found:
+        if name is not None and not matches:
             click.echo(f"shedsill: there is no {kind} {name!r}", err=True)
             return EXIT_FAILED
         if output == "json":
-            click.echo(json.dumps(found[0] if name else found))
+            click.echo(json.dumps(matches[0] if name else matches))
         else:
-            click.echo(yaml.safe_dump_all(found, sort_keys=False).rstrip())
+            click.echo(yaml.safe_dump_all(matches, sort_keys=False).rstrip())
         return EXIT_OK
 
     run_with_platform(platform, execute)
@@ -335,8 +337,8 @@
             case Stored():
                 click.echo(f"{kind}/{name} deleted")
                 return EXIT_OK
-            case Conflict(current=found):
-                stored = found.version if found else None
+            case Conflict(current=stored_object):
+                stored = stored_object.version if stored_object else None
                 text = (
                     f"shedsill: conflict: expected version {expected}, stored {stored}"
                 )
@@ -457,7 +459,7 @@
             return EXIT_UNAVAILABLE
         index = {(o.kind, o.name): o.value for o in listing.objects}
         accepted = index.get((CONFIGURATION_KIND, CONFIGURATION_NAME), {})
-        shown = {
+        view = {
             "accepted_generation": accepted.get("generation", 0),
             "cluster": index.get((STATUS_KIND, CLUSTER_STATUS_NAME), {}),
             "upstreams": [
@@ -470,7 +472,7 @@
                 if kind == NODE_KIND
             },
         }
-        _print_value(shown, output)
+        _print_value(view, output)
         return EXIT_OK
 
     run_with_platform(platform, execute)
--- a/shedsill/_cli/quickstart.py
+++ b/shedsill/_cli/quickstart.py
@@ -83,7 +83,7 @@
         click.echo(f"repeat    same answer, run once: {same_body}")
         await wait_for_body(stream, STREAM_BYTES)
         name = stream.body.split()[0].decode()
-        drained = await _drain(system, name)
+        draining = await _start_drain(system, name)
         received_bytes = len(stream.body)
         await wait_for_body(stream, received_bytes + STREAM_BYTES)
         refused = await client.request("POST", "/claim", body=b"job-3")
@@ -91,18 +91,22 @@
             f"drain     {name}: stream still open: {not stream.is_interrupted}; "
             f"new claim on its connection: {refused.status} {refused.outcome}"
         )
-        survived = not stream.is_interrupted
+        stream_open = not stream.is_interrupted
         client.cancel(stream_id)
     async with open_client(address) as client:
-        moved = await client.request("POST", "/claim", body=b"job-3")
-        click.echo(f"moved     {moved.status} {moved.body.decode().strip()}")
-    done = await _wait_drained(system, name)
-    click.echo(f"drained   {name}: {done}")
-    succeeded = same_body and drained and done and survived and moved.status == 200
+        reconnected = await client.request("POST", "/claim", body=b"job-3")
+        click.echo(
+            f"moved     {reconnected.status} {reconnected.body.decode().strip()}"
+        )
+    drained = await _wait_until_drained(system, name)
+    click.echo(f"drained   {name}: {drained}")
+    succeeded = (
+        same_body and draining and drained and stream_open and reconnected.status == 200
+    )
     return EXIT_OK if succeeded else EXIT_FAILED
 
 
-async def _drain(system, name: str) -> bool:
+async def _start_drain(system, name: str) -> bool:
     text = f"{{kind: Change, name: drain-{name}, spec: "
     text += f"{{action: drain, target: {name}}}}}"
     document = parse_documents(text)[0]
@@ -110,7 +114,7 @@
     return await _wait_for_status(system, name, "leaving")
 
 
-async def _wait_drained(system, name: str) -> bool:
+async def _wait_until_drained(system, name: str) -> bool:
     return await _wait_for_status(system, name, "drained")
 
 
--- a/shedsill/testing/invariants.py
+++ b/shedsill/testing/invariants.py
@@ -55,8 +55,8 @@
     """Raise if two nodes hold different configurations of one generation."""
     for process in processes:
         configuration = process.state.node.configuration
-        known = accepted.setdefault(configuration.generation, configuration)
-        if known != configuration:
+        first_seen = accepted.setdefault(configuration.generation, configuration)
+        if first_seen != configuration:
             raise InvariantError(
                 f"generation {configuration.generation} has two configurations"
             )
