--- a/benchmarks/changes.py
+++ b/benchmarks/changes.py
@@ -76,7 +76,9 @@
     for name in names:
         cluster.processes[name].send_signal(signal.SIGKILL)
     await asyncio.sleep(1.0)
-    await _withdraw_balancers(cluster, [cluster.balancer_addresses[name].host for name in names])
+    await _withdraw_balancers(
+        cluster, [cluster.balancer_addresses[name].host for name in names]
+    )
     await asyncio.sleep(SETTLE_SECONDS)
 
 
--- a/shedsill/testing/flow_endpoints.py
+++ b/shedsill/testing/flow_endpoints.py
@@ -2,8 +2,8 @@
 
 Both exchange real packets through a `send` function and set timers through a
 `schedule` function, so that they work in memory and over sockets.  They raise
-`InvariantError` if a packet was altered, if a SYN reaches the wrong service, or if a flow
-is reset while its upstream holds it.
+`InvariantError` if a packet was altered, if a SYN reaches the wrong service, or if a
+flow is reset while its upstream holds it.
 """
 
 from __future__ import annotations
--- a/shedsill/testing/http3_simulation.py
+++ b/shedsill/testing/http3_simulation.py
@@ -417,7 +417,9 @@
             if self.now >= end:
                 return
             self.advance(step)
-        raise InvariantError(f"time did not reach {end} within {MAX_SETTLE_STEPS} steps")
+        raise InvariantError(
+            f"time did not reach {end} within {MAX_SETTLE_STEPS} steps"
+        )
 
     def _deliver_all(self) -> None:
         """Deliver until no message is in flight; raise if that never happens."""
