--- a/benchmarks/changes.py
+++ b/benchmarks/changes.py
@@ -76,12 +76,16 @@
     for name in names:
         cluster.processes[name].send_signal(signal.SIGKILL)
     await asyncio.sleep(1.0)
-    await _withdraw_balancers(cluster, [cluster.balancer_addresses[name].host for name in names])
+    await _withdraw_balancers(
+        cluster, [cluster.balancer_addresses[name].host for name in names]
+    )
     await asyncio.sleep(SETTLE_SECONDS)
 
 
 async def _withdraw_balancers(cluster: Cluster, hosts: list[str]) -> None:
-    await cluster.fetch_json(f"{cluster.fabric_url}/balancers", body={"withdrawn": hosts})
+    await cluster.fetch_json(
+        f"{cluster.fabric_url}/balancers", body={"withdrawn": hosts}
+    )
 
 
 SCENARIOS = {
--- a/shedsill/_cli/operator.py
+++ b/shedsill/_cli/operator.py
@@ -1,4 +1,4 @@
-"""Commands with which operators drive the system through the platform."""
+"""Operators' commands, which read and write resources on the platform."""
 
 from __future__ import annotations
 
@@ -13,6 +13,13 @@
 import yaml
 
 from shedsill._catalogue import LogEvent
+from shedsill._cli.document_writer import (
+    Unchanged,
+    Unconfirmed,
+    VersionConflict,
+    Written,
+    write_document,
+)
 from shedsill._cli.exit_codes import (
     EXIT_CONFLICT,
     EXIT_FAILED,
@@ -21,7 +28,6 @@
     EXIT_UNAVAILABLE,
 )
 from shedsill._cli.settings import check_url
-from shedsill._cli.document_writer import Unchanged, VersionConflict, Unconfirmed, Written, write_document
 from shedsill.coordination.backoff import Backoff
 from shedsill.coordination.platform import (
     Conflict,
@@ -64,8 +70,10 @@
 )
 
 
-def run_with_platform(platform: str, command: Callable[[Platform], Awaitable[int]]) -> None:
-    """Run a command against the platform and exit with its code."""
+def run_with_platform(
+    platform: str, command: Callable[[Platform], Awaitable[int]]
+) -> None:
+    """Run a command with a client of the platform and exit with its code."""
     url = check_url("--platform", platform)
 
     async def run_with_client() -> int:
@@ -85,27 +93,36 @@
         click.echo(yaml.safe_dump(value, sort_keys=False).rstrip())
 
 
-def _get_resource_view(item: StoredObject, status: StoredObject | None) -> dict[str, Any]:
-    shown = {
+def _get_resource_view(
+    item: StoredObject, status: StoredObject | None
+) -> dict[str, Any]:
+    view = {
         "kind": item.kind,
         "name": item.name,
         "version": item.version,
         "spec": item.value.get("spec", item.value),
     }
     if status is not None:
-        shown["status"] = status.value
-    return shown
+        view["status"] = status.value
+    return view
 
 
 @click.command()
 @platform_option
 @output_option
 @click.option(
-    "-f", "--file", "source", type=click.File("r"), required=True, help="- for stdin."
+    "-f",
+    "--file",
+    "source",
+    type=click.File("r"),
+    required=True,
+    help="YAML or JSON documents; - for stdin.",
+)
+@click.option("--dry-run", is_flag=True, help="Check the documents and write nothing.")
+@click.option("--force", is_flag=True, help="Replace whatever version is stored.")
+@click.option(
+    "--wait/--no-wait", default=False, help="Wait until all resources are accepted."
 )
-@click.option("--dry-run", is_flag=True, help="Check the documents; write nothing.")
-@click.option("--force", is_flag=True, help="Overwrite whatever version is stored.")
-@click.option("--wait/--no-wait", default=False, help="Wait until it is accepted.")
 @click.option("--timeout", type=float, default=30.0, show_default=True)
 def apply(
     platform: str,
@@ -119,8 +136,8 @@
     """Write resources from YAML or JSON documents.
 
     All documents are checked before any is written.  A document that replaces a
-    resource carries the `version` that `get` showed; if the stored one is
-    another, nothing is written, both are shown, and the exit code is 3.
+    resource has to name the `version` that `get` showed.  If another version is
+    stored, the resource is not written, both are shown, and the exit code is 3.
     """
     documents = parse_documents(source.read())
     if dry_run:
@@ -129,7 +146,7 @@
             _print_value({"resource": name, "result": "valid"}, output)
         sys.exit(EXIT_OK)
 
-    async def work(client: Platform) -> int:
+    async def execute(client: Platform) -> int:
         for document in documents:
             code = await _apply_document(client, document, output, force=force)
             if code != EXIT_OK:
@@ -144,7 +161,7 @@
                 return code
         return EXIT_OK
 
-    run_with_platform(platform, work)
+    run_with_platform(platform, execute)
 
 
 async def _apply_document(
@@ -154,25 +171,27 @@
     result = await write_document(client, document, force=force)
     match result:
         case Written(version=version):
-            shown = {"resource": name, "result": "written", "version": version}
-            _print_value(shown, output)
+            view = {"resource": name, "result": "written", "version": version}
+            _print_value(view, output)
             return EXIT_OK
         case Unchanged(version=version):
-            shown = {"resource": name, "result": "unchanged", "version": version}
-            _print_value(shown, output)
+            view = {"resource": name, "result": "unchanged", "version": version}
+            _print_value(view, output)
             return EXIT_OK
-        case VersionConflict(document_version=yours, current=current):
-            shown = {
+        case VersionConflict(document_version=document_version, current=current):
+            view = {
                 "resource": name,
                 "result": "conflict",
-                "your_version": yours,
+                "your_version": document_version,
                 "your_spec": encode_spec(document.resource),
                 "stored": _get_resource_view(current, None) if current else None,
             }
-            _print_value(shown, output)
+            _print_value(view, output)
             return EXIT_CONFLICT
         case Unconfirmed(reason=reason):
-            _print_value({"resource": name, "result": "unknown", "reason": reason}, output)
+            _print_value(
+                {"resource": name, "result": "unknown", "reason": reason}, output
+            )
             return EXIT_UNAVAILABLE
 
 
@@ -184,7 +203,7 @@
     phases: tuple[str, ...],
     timeout: float,
 ) -> int:
-    """Show the status of a resource as it changes, until a phase is reached."""
+    """Print each new status of a resource until it reaches one of some phases."""
     kind, name = get_kind(document.resource), document.resource.name
     status_name = f"{kind}.{name}"
     backoff = Backoff(max_delay=1.0)
@@ -196,19 +215,21 @@
             ):
                 index = {(o.kind, o.name): o for o in listing.objects}
                 item = index.get((kind, name))
-                found = index.get((STATUS_KIND, status_name))
-                if item is None or found is None:
+                current_status = index.get((STATUS_KIND, status_name))
+                if item is None or current_status is None:
                     continue
-                if found.value.get("observed_version") != item.version:
+                if current_status.value.get("observed_version") != item.version:
                     continue
-                if found.value != last:
-                    last = found.value
-                    _print_value({"resource": f"{kind}/{name}", **found.value}, output)
-                phase = str(found.value.get("phase"))
+                if current_status.value != last:
+                    last = current_status.value
+                    _print_value(
+                        {"resource": f"{kind}/{name}", **current_status.value}, output
+                    )
+                phase = str(current_status.value.get("phase"))
                 if phase in phases:
                     return EXIT_REJECTED if phase == "rejected" else EXIT_OK
     except TimeoutError:
-        click.echo(f"shedsill: {kind}/{name} not done in {timeout} s", err=True)
+        click.echo(f"shedsill: {kind}/{name} is not done after {timeout} s", err=True)
     return EXIT_FAILED
 
 
@@ -228,30 +249,30 @@
 @click.argument("kind")
 @click.argument("name", required=False)
 def get(platform: str, output: str, kind: str, name: str | None) -> None:
-    """Show resources of KIND, or the one named NAME, with status and version."""
+    """Show the resources of a KIND, or the one named NAME, with version and status."""
     kind = _check_kind(kind)
 
-    async def work(client: Platform) -> int:
+    async def execute(client: Platform) -> int:
         listing = await client.call(List(kinds=(kind, STATUS_KIND)))
         if not isinstance(listing, Listing):
             click.echo(f"shedsill: {listing}", err=True)
             return EXIT_UNAVAILABLE
         index = {(o.kind, o.name): o for o in listing.objects}
-        found = [
+        matches = [
             _get_resource_view(item, index.get((STATUS_KIND, f"{kind}.{item.name}")))
             for item in listing.objects
             if item.kind == kind and name in (None, item.name)
         ]
-        if name is not None and not found:
+        if name is not None and not matches:
             click.echo(f"shedsill: there is no {kind} {name!r}", err=True)
             return EXIT_FAILED
         if output == "json":
-            click.echo(json.dumps(found[0] if name else found))
+            click.echo(json.dumps(matches[0] if name else matches))
         else:
-            click.echo(yaml.safe_dump_all(found, sort_keys=False).rstrip())
+            click.echo(yaml.safe_dump_all(matches, sort_keys=False).rstrip())
         return EXIT_OK
 
-    run_with_platform(platform, work)
+    run_with_platform(platform, execute)
 
 
 @click.command()
@@ -259,16 +280,18 @@
 @output_option
 @click.argument("kind")
 @click.argument("name")
-@click.option("--timeout", type=float, default=0.0, help="Seconds; 0 for no limit.")
+@click.option(
+    "--timeout", type=float, default=0.0, help="Seconds to follow it; 0 for no limit."
+)
 def watch(platform: str, output: str, kind: str, name: str, timeout: float) -> None:
-    """Follow the status of a resource until it is done or rejected.
+    """Show each new status of a resource until it is done or rejected.
 
     A service or a set of upstreams is done when it is accepted.
     """
     kind = _check_kind(kind)
     phases = FINAL_PHASES if kind == "change" else ACCEPTED_PHASES
 
-    async def work(client: Platform) -> int:
+    async def execute(client: Platform) -> int:
         document = await _find_document(client, kind, name)
         if document is None:
             click.echo(f"shedsill: there is no {kind} {name!r}", err=True)
@@ -277,7 +300,7 @@
             client, document, output, phases=phases, timeout=timeout
         )
 
-    run_with_platform(platform, work)
+    run_with_platform(platform, execute)
 
 
 async def _find_document(client: Platform, kind: str, name: str) -> Document | None:
@@ -293,13 +316,13 @@
 @click.argument("kind")
 @click.argument("name")
 @click.option(
-    "--version", type=int, default=None, help="Delete only if this is stored."
+    "--version", type=int, default=None, help="Delete only if this version is stored."
 )
 def delete(platform: str, kind: str, name: str, version: int | None) -> None:
-    """Delete a resource; its upstreams drain before they are forgotten."""
+    """Delete a resource; its upstreams are drained before they are removed."""
     kind = _check_kind(kind)
 
-    async def work(client: Platform) -> int:
+    async def execute(client: Platform) -> int:
         read = await client.call(Get(kind=kind, name=name))
         if isinstance(read, Unavailable):
             click.echo(f"shedsill: {read.reason}", err=True)
@@ -314,16 +337,18 @@
             case Stored():
                 click.echo(f"{kind}/{name} deleted")
                 return EXIT_OK
-            case Conflict(current=found):
-                stored = found.version if found else None
-                text = f"shedsill: conflict: yours {expected}, stored {stored}"
+            case Conflict(current=stored_object):
+                stored = stored_object.version if stored_object else None
+                text = (
+                    f"shedsill: conflict: expected version {expected}, stored {stored}"
+                )
                 click.echo(text, err=True)
                 return EXIT_CONFLICT
             case _:
                 click.echo(f"shedsill: {outcome}", err=True)
                 return EXIT_UNAVAILABLE
 
-    run_with_platform(platform, work)
+    run_with_platform(platform, execute)
 
 
 def _make_change(action: str, target: str) -> Document:
@@ -338,7 +363,7 @@
 def _submit_change(
     platform: str, output: str, document: Document, *, wait: bool, timeout: float
 ) -> None:
-    async def work(client: Platform) -> int:
+    async def execute(client: Platform) -> int:
         code = await _apply_document(client, document, output, force=False)
         if code != EXIT_OK or not wait:
             return code
@@ -346,7 +371,7 @@
             client, document, output, phases=FINAL_PHASES, timeout=timeout
         )
 
-    run_with_platform(platform, work)
+    run_with_platform(platform, execute)
 
 
 wait_option = click.option("--wait/--no-wait", default=True, show_default=True)
@@ -364,7 +389,7 @@
 def drain(
     platform: str, output: str, wait: bool, timeout: float, upstream: str
 ) -> None:
-    """Take an upstream out of new work and wait until its flows have ended."""
+    """Send an upstream no new work and wait until its open flows have ended."""
     document = _make_change("drain", upstream)
     _submit_change(platform, output, document, wait=wait, timeout=timeout)
 
@@ -373,9 +398,9 @@
 @platform_option
 @click.argument("upstream")
 def undrain(platform: str, upstream: str) -> None:
-    """Give an upstream new work again, by deleting the change that drains it."""
+    """Send an upstream new work again by deleting the change that drains it."""
 
-    async def work(client: Platform) -> int:
+    async def execute(client: Platform) -> int:
         name = f"drain-{upstream}"
         read = await client.call(Get(kind="change", name=name))
         if isinstance(read, Unavailable):
@@ -392,7 +417,7 @@
         click.echo(f"change/{name} deleted")
         return EXIT_OK
 
-    run_with_platform(platform, work)
+    run_with_platform(platform, execute)
 
 
 @click.command("stop-balancer")
@@ -404,7 +429,7 @@
 def stop_balancer(
     platform: str, output: str, wait: bool, timeout: float, balancer: str
 ) -> None:
-    """Stop a balancer once the fabric sends it no more packets."""
+    """Stop a balancer once it receives no more packets from the fabric."""
     document = _make_change("stop-balancer", balancer)
     _submit_change(platform, output, document, wait=wait, timeout=timeout)
 
@@ -415,7 +440,7 @@
 @wait_option
 @timeout_option
 def rotate_keys(platform: str, output: str, wait: bool, timeout: float) -> None:
-    """Mint connection IDs under the next key; open flows keep theirs."""
+    """Issue connection IDs under the next key; open flows keep their IDs."""
     document = _make_change("rotate-keys", "")
     _submit_change(platform, output, document, wait=wait, timeout=timeout)
 
@@ -424,9 +449,9 @@
 @platform_option
 @output_option
 def status(platform: str, output: str) -> None:
-    """Show the generation in force, on how many nodes, and each upstream."""
+    """Show the accepted generation, the cluster, each upstream and each node."""
 
-    async def work(client: Platform) -> int:
+    async def execute(client: Platform) -> int:
         kinds = (STATUS_KIND, CONFIGURATION_KIND, NODE_KIND)
         listing = await client.call(List(kinds=kinds))
         if not isinstance(listing, Listing):
@@ -434,7 +459,7 @@
             return EXIT_UNAVAILABLE
         index = {(o.kind, o.name): o.value for o in listing.objects}
         accepted = index.get((CONFIGURATION_KIND, CONFIGURATION_NAME), {})
-        shown = {
+        view = {
             "accepted_generation": accepted.get("generation", 0),
             "cluster": index.get((STATUS_KIND, CLUSTER_STATUS_NAME), {}),
             "upstreams": [
@@ -447,16 +472,16 @@
                 if kind == NODE_KIND
             },
         }
-        _print_value(shown, output)
+        _print_value(view, output)
         return EXIT_OK
 
-    run_with_platform(platform, work)
+    run_with_platform(platform, execute)
 
 
 @click.command()
 @output_option
 def events(output: str) -> None:
-    """List the numbered log events."""
+    """List the log events with their numbers, levels and texts."""
     rows = [
         {
             "number": event.value.number,
--- a/shedsill/_cli/quickstart.py
+++ b/shedsill/_cli/quickstart.py
@@ -1,7 +1,7 @@
-"""``shedsill quickstart``: everything in one process, on loopback.
+"""Command ``shedsill quickstart``: the whole system in one process, on loopback.
 
-It applies a configuration, serves a claim and a stream through two balancers
-and three agents, drains an upstream under the stream, and says what happened.
+It applies a configuration, sends claims and a stream through two balancers and
+three agents, drains the upstream that serves the stream, and prints the results.
 """
 
 from __future__ import annotations
@@ -11,8 +11,8 @@
 
 import click
 
-from shedsill._cli.exit_codes import EXIT_FAILED, EXIT_OK
 from shedsill._cli.document_writer import Written, write_document
+from shedsill._cli.exit_codes import EXIT_FAILED, EXIT_OK
 from shedsill.http3._resources import parse_documents
 from shedsill.http3._runtime.log import configure_logging
 
@@ -23,7 +23,7 @@
 
 
 @click.command()
-@click.option("--serve", is_flag=True, help="Stay up and print what to try.")
+@click.option("--serve", is_flag=True, help="Keep running and print commands to try.")
 @click.option(
     "--log-level",
     type=click.Choice(["TRACE", "DEBUG", "INFO", "WARNING", "ERROR"]),
@@ -31,13 +31,13 @@
     show_default=True,
 )
 def quickstart(serve: bool, log_level: str) -> None:
-    """Run the whole path in one process, with stand-ins around it."""
+    """Run the system in one process, with a test platform and test upstreams."""
     configure_logging(level=log_level, as_json=False)
     sys.exit(asyncio.run(_run(serve=serve, log_level=log_level)))
 
 
 async def _run(*, serve: bool, log_level: str) -> int:
-    # The stand-ins are for tests and this command alone; a daemon never loads them.
+    # Imported here so that balancers and agents do not load the testing modules.
     from shedsill.testing.documents import make_layout
     from shedsill.testing.embedded import EmbeddedSystem
 
@@ -63,44 +63,50 @@
         click.echo(f"applied   {kind} {document.resource.name}")
     await system.wait_ready()
     generation = next(iter(system.balancers.values())).get_status()["generation"]
-    click.echo(f"accepted  generation {generation}, in force on every node")
+    click.echo(f"accepted  generation {generation}, in force on all nodes")
 
 
 async def _run_demonstration(system) -> int:
     from shedsill.testing.client import open_client, wait_for_body
 
-    front = system.service_addresses[SERVICE]
-    async with open_client(front) as client:
+    address = system.service_addresses[SERVICE]
+    async with open_client(address) as client:
         stream_id, stream = client.send_request("GET", STREAM_PATH)
         claim = await client.request("POST", "/claim", body=b"job-1")
         click.echo(f"claim     {claim.status} {claim.body.decode().strip()}")
-        key = {"idempotency-key": claim.ticket}
-        first = await client.request("POST", "/claim", body=b"job-2", headers=key)
-        again = await client.request("POST", "/claim", body=b"job-2", headers=key)
-        same = first.body == again.body
-        click.echo(f"repeat    same answer, run once: {same}")
+        headers = {"idempotency-key": claim.ticket}
+        first = await client.request("POST", "/claim", body=b"job-2", headers=headers)
+        repeated = await client.request(
+            "POST", "/claim", body=b"job-2", headers=headers
+        )
+        same_body = first.body == repeated.body
+        click.echo(f"repeat    same answer, run once: {same_body}")
         await wait_for_body(stream, STREAM_BYTES)
         name = stream.body.split()[0].decode()
-        drained = await _drain(system, name)
-        before = len(stream.body)
-        await wait_for_body(stream, before + STREAM_BYTES)
+        draining = await _start_drain(system, name)
+        received_bytes = len(stream.body)
+        await wait_for_body(stream, received_bytes + STREAM_BYTES)
         refused = await client.request("POST", "/claim", body=b"job-3")
         click.echo(
             f"drain     {name}: stream still open: {not stream.is_interrupted}; "
             f"new claim on its connection: {refused.status} {refused.outcome}"
         )
-        survived = not stream.is_interrupted
+        stream_open = not stream.is_interrupted
         client.cancel(stream_id)
-    async with open_client(front) as client:
-        moved = await client.request("POST", "/claim", body=b"job-3")
-        click.echo(f"moved     {moved.status} {moved.body.decode().strip()}")
-    done = await _wait_drained(system, name)
-    click.echo(f"drained   {name}: {done}")
-    good = same and drained and done and survived and moved.status == 200
-    return EXIT_OK if good else EXIT_FAILED
+    async with open_client(address) as client:
+        reconnected = await client.request("POST", "/claim", body=b"job-3")
+        click.echo(
+            f"moved     {reconnected.status} {reconnected.body.decode().strip()}"
+        )
+    drained = await _wait_until_drained(system, name)
+    click.echo(f"drained   {name}: {drained}")
+    succeeded = (
+        same_body and draining and drained and stream_open and reconnected.status == 200
+    )
+    return EXIT_OK if succeeded else EXIT_FAILED
 
 
-async def _drain(system, name: str) -> bool:
+async def _start_drain(system, name: str) -> bool:
     text = f"{{kind: Change, name: drain-{name}, spec: "
     text += f"{{action: drain, target: {name}}}}}"
     document = parse_documents(text)[0]
@@ -108,7 +114,7 @@
     return await _wait_for_status(system, name, "leaving")
 
 
-async def _wait_drained(system, name: str) -> bool:
+async def _wait_until_drained(system, name: str) -> bool:
     return await _wait_for_status(system, name, "drained")
 
 
@@ -123,17 +129,17 @@
 
 
 async def _serve(system) -> int:
-    front = system.service_addresses[SERVICE]
-    click.echo(f"service   {SERVICE} at {front} (HTTP/3)")
+    address = system.service_addresses[SERVICE]
+    click.echo(f"service   {SERVICE} at {address} (HTTP/3)")
     click.echo(f"platform  {system.platform_url}")
     for name, balancer in system.balancers.items():
         click.echo(f"control   {name} at http://{balancer.control.address}/status")
     click.echo("certificate (self-signed, for service.example):")
     click.echo(system.certificate.certificate.rstrip())
     click.echo("try:")
-    click.echo(f"  python -m shedsill.testing.request POST {front} /claim job-1")
+    click.echo(f"  python -m shedsill.testing.request POST {address} /claim job-1")
     click.echo(f"  shedsill status --platform {system.platform_url}")
-    click.echo("ctrl-c ends it", nl=True)
+    click.echo("press ctrl-c to stop", nl=True)
     sys.stdout.flush()
     try:
         await asyncio.Event().wait()
--- a/shedsill/testing/flow_endpoints.py
+++ b/shedsill/testing/flow_endpoints.py
@@ -2,8 +2,8 @@
 
 Both exchange real packets through a `send` function and set timers through a
 `schedule` function, so that they work in memory and over sockets.  They raise
-`OracleError` if a packet was altered, if a SYN reaches the wrong service, or if a flow
-is reset while its upstream holds it.
+`InvariantError` if a packet was altered, if a SYN reaches the wrong service, or if a
+flow is reset while its upstream holds it.
 """
 
 from __future__ import annotations
@@ -74,7 +74,7 @@
 
 
 def check_packet(data: bytes) -> None:
-    """Raise `OracleError` if a packet does not match its checksum."""
+    """Raise `InvariantError` if a packet does not match its checksum."""
     if compute_checksum(data) != struct.unpack_from(">I", data, 32)[0]:
         raise InvariantError("packet was changed in transit: checksum mismatch")
 
--- a/shedsill/testing/node_settings.py
+++ b/shedsill/testing/node_settings.py
@@ -1,4 +1,4 @@
-"""Settings for nodes that tests start in their own process."""
+"""Settings of datagram nodes that tests run in their own process."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 from shedsill.datagram._messages import Role
 from shedsill.datagram.adapter import NodeSettings
 
-__all__ = ["PORTS", "make_settings"]
+__all__ = ["NODE_PORT_COUNT", "make_node_settings"]
 
 NODE_PORT_COUNT = 4
-"""Ports that every node needs: packets, messages, other nodes' packets, status."""
+"""Ports per node: packets, messages, packets of other nodes, and status."""
 
 
 def make_node_settings(
@@ -22,7 +22,7 @@
     Parameters
     ----------
     ports : list of int
-        At least `PORTS` free ones.
+        At least `NODE_PORT_COUNT` free ports.
     **fields
         Other fields of `NodeSettings`.
     """
--- a/shedsill/tests/test_quickstart.py
+++ b/shedsill/tests/test_quickstart.py
@@ -1,4 +1,4 @@
-"""The quickstart, as a user runs it."""
+"""The quickstart command, run in a process of its own."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 import sys
 
 
-def test_quickstart_shows_a_drain_and_exits_with_0() -> None:
-    done = subprocess.run(
+def test_quickstart_drains_upstream_and_exits_with_0() -> None:
+    result = subprocess.run(
         [sys.executable, "-m", "shedsill", "quickstart"],
         capture_output=True,
         text=True,
         timeout=60,
     )
-    assert done.returncode == 0, done.stdout + done.stderr
-    assert "run once: True" in done.stdout
-    assert "stream still open: True" in done.stdout
-    assert "503 not-run" in done.stdout
+    assert result.returncode == 0, result.stdout + result.stderr
+    assert "run once: True" in result.stdout
+    assert "stream still open: True" in result.stdout
+    assert "503 not-run" in result.stdout
