--- a/shedsill/coordination/__init__.py
+++ b/shedsill/coordination/__init__.py
@@ -69,7 +69,7 @@
         "watch_kinds",
     ),
 }
-_HOMES = {name: module for module, names in _MODULES.items() for name in names}
+_MODULE_BY_NAME = {name: module for module, names in _MODULES.items() for name in names}
 
 __all__ = [
     "Address",
@@ -120,9 +120,9 @@
 
 def __getattr__(name: str) -> Any:
     """Import the module that defines a public name."""
-    if name not in _HOMES:
+    if name not in _MODULE_BY_NAME:
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
-    return getattr(importlib.import_module(_HOMES[name]), name)
+    return getattr(importlib.import_module(_MODULE_BY_NAME[name]), name)
 
 
 def __dir__() -> list[str]:
--- a/shedsill/coordination/backoff.py
+++ b/shedsill/coordination/backoff.py
@@ -36,7 +36,7 @@
     >>> get_delay(Backoff(max_delay=5.0), 40) <= 5.0
     True
     """
-    doublings = min(max(failures - 1, 0), 30)
+    doublings = min(max(failures - 1, 0), 30)  # avoids an overflow
     ceiling = min(backoff.initial_delay * 2**doublings, backoff.max_delay)
     jitter = generator.random() if generator else _draw_jitter()
     return ceiling * (0.5 + jitter / 2)
--- a/shedsill/coordination/lease.py
+++ b/shedsill/coordination/lease.py
@@ -21,7 +21,7 @@
     StoredObject,
 )
 
-RENEWALS_PER_TERM = 3
+RENEWALS_PER_TIME_TO_LIVE = 3
 
 
 @frozen(kw_only=True)
@@ -67,7 +67,7 @@
 def plan_call(lease: Lease, now: float) -> tuple[Lease, Call | None]:
     """Return the next call if it is due.
 
-    A term starts when the call is sent, not when its result arrives.
+    The time to live starts when the call is sent, not when its result arrives.
 
     Examples
     --------
@@ -82,7 +82,7 @@
     """
     if now < lease.next_call_at:
         return lease, None
-    interval = lease.time_to_live / RENEWALS_PER_TERM
+    interval = lease.time_to_live / RENEWALS_PER_TIME_TO_LIVE
     return evolve(lease, called_at=now, next_call_at=now + interval), _build_call(
         lease, now
     )
@@ -115,20 +115,20 @@
                 held_until=lease.called_at + lease.time_to_live,
             )
         case Conflict(current=current):
-            return _record_version(lease, current, now, may_hold=False)
+            return _record_version(lease, current, now, may_be_held=False)
         case Found(object=current):
-            return _record_version(lease, current, now, may_hold=True)
+            return _record_version(lease, current, now, may_be_held=True)
         case _:
             return evolve(lease, version_known=False)
 
 
 def _record_version(
-    lease: Lease, current: StoredObject | None, now: float, *, may_hold: bool
+    lease: Lease, current: StoredObject | None, now: float, *, may_be_held: bool
 ) -> Lease:
     version = current.version if current else 0
     holder = str(current.value.get("holder", "")) if current else ""
     changed = version != lease.version or lease.observed_at is None
-    held = may_hold and holder == lease.node
+    held = may_be_held and holder == lease.node
     return evolve(
         lease,
         version=version,
--- a/shedsill/coordination/membership.py
+++ b/shedsill/coordination/membership.py
@@ -16,11 +16,11 @@
 
 from shedsill._addresses import Address
 
-SILENT_AFTER_SECONDS = 5.0
-FORGET_AFTER_SECONDS = 60.0
-FAN_OUT = 3
+SILENT_AFTER_SECONDS = 5.0  # without a newer report
+FORGET_AFTER_SECONDS = 60.0  # without a newer report
+FAN_OUT = 3  # peers to which each heartbeat is sent
 REPORTS_PER_HEARTBEAT = 8
-DRAWS_PER_PEER = 4
+DRAWS_PER_PEER = 4  # a draw may repeat a peer or yield the node itself
 MAX_MEMBERS = 512
 
 
@@ -30,8 +30,12 @@
 
     Attributes
     ----------
+    balancer : bool
+        Whether the node is a balancer.
     heartbeat_number : int
         Number of heartbeats sent by this incarnation.
+    generation : int
+        Generation of the configuration that the node has applied.
     """
 
     name: str
@@ -45,7 +49,13 @@
 
 @frozen(kw_only=True)
 class Member:
-    """A report and the local time at which it was received first."""
+    """The newest report of a node.
+
+    Attributes
+    ----------
+    last_heard_at : float
+        Local time at which the report was first received, from any node.
+    """
 
     report: NodeReport
     last_heard_at: float
--- a/shedsill/coordination/propagation.py
+++ b/shedsill/coordination/propagation.py
@@ -22,7 +22,7 @@
     generation : int
         Generation applied at this node.
     pulling_until : float
-        Local time until which a running pull is waited for.
+        Local time before which no further pull is started.
     """
 
     generation: int = 0
--- a/shedsill/coordination/update.py
+++ b/shedsill/coordination/update.py
@@ -67,14 +67,14 @@
     Stored(version=1)
     """
     outcome: Outcome = Unavailable(reason="no attempt was allowed")
-    uncertain = False
+    maybe_written = False
     for _ in range(max_attempts):
         read = await platform.call(Get(kind=kind, name=name))
         if not isinstance(read, Found):
             outcome = read
             continue
         current = read.object
-        if uncertain and _has_change_id(current, change_id):
+        if maybe_written and _has_change_id(current, change_id):
             return Stored(version=current.version)
         value = current.value if current else {}
         new_value = {**change(dict(value)), CHANGE_ID_KEY: change_id}
@@ -91,8 +91,8 @@
             case Stored():
                 return outcome
             case Unavailable(perhaps_applied=perhaps_applied):
-                uncertain = uncertain or perhaps_applied
-            case Conflict(current=found) if uncertain and _has_change_id(
+                maybe_written = maybe_written or perhaps_applied
+            case Conflict(current=found) if maybe_written and _has_change_id(
                 found, change_id
             ):
                 return Stored(version=found.version)
--- a/shedsill/coordination/watch.py
+++ b/shedsill/coordination/watch.py
@@ -89,9 +89,9 @@
     get_timeout : callable
         Returns the timeout of the next watch in seconds.
     delay_next_watch : callable
-        Awaited after a listing or a change, so that several changes are fetched in
-        one call.  Returns a short timeout for a next watch that only fetches the
-        changes up to now, and None otherwise.
+        Awaited after a listing or a change, so that the next watch returns several
+        changes at once.  Returns a short timeout in seconds if that watch should not
+        wait for further changes, and None otherwise.
 
     Examples
     --------
--- a/shedsill/http3/__init__.py
+++ b/shedsill/http3/__init__.py
@@ -14,9 +14,9 @@
 every node                ``_node``, ``_status``, ``_frames``, ``_keys``
 configuration             ``_resources``, ``_configuration``,
                           ``_configuration_rules``, ``_acceptor``
-a balancer                ``_balancer``, ``_routing``, ``_packets``,
-                          ``_placement``, ``_flows``
-an agent                  ``_agent``, ``_agent_state``, ``_requests``,
+a balancer                ``_balancer``, ``_routing``
+both roles                ``_packets``, ``_placement``
+an agent                  ``_agent``, ``_agent_state``, ``_flows``, ``_requests``,
                           ``_admission``, ``_request_completion``, ``_outcomes``,
                           ``_answers``, ``_peers``, ``_drain``
 sockets and calls         ``_runtime``
--- a/shedsill/http3/_admission.py
+++ b/shedsill/http3/_admission.py
@@ -23,7 +23,11 @@
 
 
 class RequestPhase(enum.Enum):
-    """Phase of a request: joined ones wait for another request's outcome."""
+    """Phase of a request.
+
+    A joined request repeats one with the same ticket and waits for its outcome; a
+    forwarded one was sent to another agent.
+    """
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -91,14 +95,15 @@
     cancel_grace : float
         Seconds for which a slot stays occupied after its request was aborted.
     idle_span : float
-        Seconds for which the upstream must report no load after a start before its
-        slots are used.  They are used in any case after the longest deadline.
+        Seconds for which the upstream must report no load before its slots are used
+        after the agent's start.  They are used at the latest after the longest
+        deadline of the service.
     breaker_failures : int
         Consecutive failures after which the circuit breaker opens.
     breaker_pause : float
         Seconds before the open breaker lets one trial request through.
     retry_share : float
-        Retries allowed per first attempt.
+        Retries added to the retry budget by each first attempt.
     """
 
     cancel_grace: float = 0.2
@@ -138,7 +143,7 @@
     slot_release_times : tuple of float
         Local times at which the slots of aborted requests become free.
     slots_available_at : float
-        Local time before which no slot is used after a start.
+        Local time before which no slot is used after the agent's start.
     idle_since : float or None
         Local time since which the upstream reports no load.
     service_time : float
@@ -298,13 +303,13 @@
 def start_request(admission: Admission, request: Request, now: float) -> Admission:
     """Remove a request from the queue and count it as running."""
     queue = tuple(n for n in admission.queue if n != request.number)
-    earned = 0.0 if request.retried else admission.settings.retry_share
+    added_retries = 0.0 if request.retried else admission.settings.retry_share
     admission = evolve(
         admission,
         queue=queue,
         running=admission.running + request.needs_slot,
         streams=admission.streams + (not request.needs_slot),
-        retry_budget=min(admission.retry_budget + earned, MAX_RETRY_BUDGET),
+        retry_budget=min(admission.retry_budget + added_retries, MAX_RETRY_BUDGET),
     )
     return put_request(
         admission, evolve(request, phase=RequestPhase.RUNNING, started_at=now)
@@ -405,9 +410,9 @@
 def record_upstream_load(admission: Admission, busy: int, now: float) -> Admission:
     """Record a response of the upstream's load endpoint.
 
-    The endpoint is not trusted for admission.  It only ends the wait after a start:
-    an upstream that has been idle for `idle_span` seconds has finished the requests
-    of the previous agent process.
+    The endpoint is not trusted for admission.  It only ends the wait after the
+    agent's start: an upstream that has been idle for `idle_span` seconds has
+    finished the requests of the previous agent process.
     """
     if now >= admission.slots_available_at:
         return admission
--- a/shedsill/http3/_agent.py
+++ b/shedsill/http3/_agent.py
@@ -46,7 +46,7 @@
 from shedsill.http3._requests import expire_requests, start_queued_requests
 from shedsill.http3._resources import RequestKind, Service
 
-MAX_PROBED_PATHS = 8
+MAX_PROBED_PATHS = 8  # balancers per heartbeat
 DEFAULT_DEADLINE_SECONDS = 30.0
 
 Step = tuple[AgentState, list[Effect]]
--- a/shedsill/http3/_agent_state.py
+++ b/shedsill/http3/_agent_state.py
@@ -124,7 +124,7 @@
     peer_loads : Map
         Loads of other upstreams, by number.
     reply_paths : Map
-        Balancers that delivered datagrams, and when each was last heard.
+        Balancers through which replies can be sent, and when each was last heard.
     record_successors : Map
         Upstream that took over the records of each incarnation.
     drain : DrainProgress or None
--- a/shedsill/http3/_balancer.py
+++ b/shedsill/http3/_balancer.py
@@ -64,7 +64,7 @@
     write_status,
 )
 
-PROBE_IDLE_SECONDS = 1.0
+PROBE_IDLE_SECONDS = 1.0  # without a frame from an agent
 
 
 @frozen(kw_only=True)
--- a/shedsill/http3/_configuration.py
+++ b/shedsill/http3/_configuration.py
@@ -193,7 +193,7 @@
     try:
         return _CONVERTER.structure(value, Configuration)
     except Exception as error:
-        raise DecodeError(f"not a valid accepted configuration: {error}") from error
+        raise DecodeError(f"accepted configuration is not valid: {error}") from error
 
 
 def decode_configuration_text(text: bytes) -> Configuration:
--- a/shedsill/http3/_flows.py
+++ b/shedsill/http3/_flows.py
@@ -36,8 +36,8 @@
 DECISION_LIFETIME_SECONDS = 10.0
 FORWARD_TIMEOUT_SECONDS = 0.8
 REPLY_PATH_TIMEOUT_SECONDS = 1.5
-REPLY_PATH_FRESH_SECONDS = 1.2
-REPLY_PATH_UPDATE_SECONDS = 0.25
+REPLY_PATH_MAX_AGE_SECONDS = 1.2
+REPLY_PATH_UPDATE_INTERVAL_SECONDS = 0.25
 MAX_DECISIONS = 20_000
 REPORT_AGE_RESOLUTION_SECONDS = 0.001  # ages are sent in milliseconds
 
@@ -48,7 +48,7 @@
     state: AgentState, event: FrameReceived, frame: ToUpstream
 ) -> Step:
     """Deliver a caller's datagram, forward it, or reset or refuse its flow."""
-    state = record_reply_path(state, event.source, event.now, passed=frame.passed)
+    state = record_reply_path(state, event.source, event.now, passed=frame.is_forwarded)
     if frame.upstream != state.upstream or frame.service != state.service:
         fields = {"upstream": frame.upstream, "service": frame.service}
         return state, [WriteLog(event=LogEvent.DATAGRAM_MISROUTED, fields=fields)]
@@ -129,7 +129,7 @@
     """Repeat an earlier decision, or keep the flow if forwarding it has failed."""
     if decision.upstream == state.upstream:
         return state, [_build_delivery(frame, reply_to, can_open_connection=True)]
-    if frame.passed:
+    if frame.is_forwarded:
         # Never forward twice, or two agents could forward to each other forever.
         return _place_flow(state, event, frame, packet, reply_to)
     target = state.node.configuration.find_upstream(decision.upstream)
@@ -149,7 +149,7 @@
     load = get_load(state)
     slow_start_share = get_slow_start_share(state, event.now)
     target = None
-    if not frame.passed:
+    if not frame.is_forwarded:
         state, alternate = _estimate_alternate(state, frame.alternate, event.now)
         if is_alternate_preferred(
             state.policy, load, alternate, slow_start_share=slow_start_share
@@ -241,7 +241,7 @@
 def _forward_datagram(
     state: AgentState, frame: ToUpstream, target: AcceptedUpstream, reply_to: Address
 ) -> Send:
-    passed = ToUpstream(
+    forwarded = ToUpstream(
         generation=state.node.configuration.generation,
         service=frame.service,
         upstream=target.number,
@@ -249,7 +249,7 @@
         datagram=frame.datagram,
         reply_to=reply_to,
     )
-    return Send(destination=target.socket_address, frame=passed)
+    return Send(destination=target.socket_address, frame=forwarded)
 
 
 def _record_decision(
@@ -263,7 +263,7 @@
 
 
 def get_slow_start_share(state: AgentState, now: float) -> float:
-    """Return the progress of slow start, from its minimum to 1."""
+    """Return the share of the flow limit that counts during slow start, up to 1."""
     span = state.settings.slow_start
     if span <= 0.0:
         return 1.0
@@ -289,13 +289,16 @@
     if passed:
         return state
     last_heard_at = state.reply_paths.get(source)
-    if last_heard_at is not None and now - last_heard_at < REPLY_PATH_UPDATE_SECONDS:
+    if (
+        last_heard_at is not None
+        and now - last_heard_at < REPLY_PATH_UPDATE_INTERVAL_SECONDS
+    ):
         return state
     return evolve(state, reply_paths=state.reply_paths.set(source, now))
 
 
 def replace_silent_reply_paths(state: AgentState, now: float) -> Step:
-    """Replace silent balancers in reply paths by the one that was heard last.
+    """Send replies through the balancer heard last instead of silent ones.
 
     A caller that only receives sends no datagram that would show the agent another
     path.
@@ -303,7 +306,7 @@
     recent = [
         (last_heard_at, address)
         for address, last_heard_at in state.reply_paths.items()
-        if now - last_heard_at < REPLY_PATH_FRESH_SECONDS
+        if now - last_heard_at < REPLY_PATH_MAX_AGE_SECONDS
     ]
     if not recent:
         return state, []
--- a/shedsill/http3/_frames.py
+++ b/shedsill/http3/_frames.py
@@ -61,9 +61,9 @@
     Attributes
     ----------
     alternate : Candidate or None
-        Another upstream to which the agent may pass a new flow on.
+        Another upstream to which the agent may forward a new flow.
     reply_to : Address or None
-        Balancer that received the datagram, if another agent has passed it on.
+        Balancer that received the datagram, if another agent forwarded it.
     """
 
     generation: int
@@ -75,8 +75,8 @@
     reply_to: Address | None = None
 
     @property
-    def passed(self) -> bool:
-        """Whether another agent passed this datagram on."""
+    def is_forwarded(self) -> bool:
+        """Whether another agent forwarded this datagram."""
         return self.reply_to is not None
 
 
@@ -188,7 +188,7 @@
         with SCHEMA.Frame.from_bytes(message) as reader:
             return _read_frame(reader)
     except (capnp.KjException, ValueError) as error:
-        raise DecodeError(f"not a valid frame: {error}") from error
+        raise DecodeError(f"frame is not valid: {error}") from error
 
 
 def _read_frame(reader: capnp._DynamicStructReader) -> Frame:
--- a/shedsill/http3/_keys.py
+++ b/shedsill/http3/_keys.py
@@ -5,7 +5,7 @@
 the new key; no key is transmitted.  Two secrets are valid while an operator
 replaces one with the other.
 
-Connection IDs follow the QUIC-LB draft: one byte (three bits of configuration,
+Connection IDs follow the QUIC-LB draft: one byte (three bits of config ID,
 five bits of length) and one AES-128 block.
 """
 
@@ -31,14 +31,14 @@
 
 from shedsill.errors import DecodeError, SettingError
 
-CONNECTION_ID_LENGTH = 17
-BLOCK_LENGTH = 16
-KEY_SLOTS = 7  # three bits, of which QUIC-LB reserves the value 0b111
+CONNECTION_ID_LENGTH = 17  # bytes
+BLOCK_BYTES = 16
+CONFIG_ID_COUNT = 7  # values of three bits; QUIC-LB reserves 0b111
 LENGTH_MASK = 0x1F
-KEY_SLOT_SHIFT = 5
-SECRET_LENGTH = 32
-MAC_LENGTH = 16
-RESET_TOKEN_LENGTH = 16
+CONFIG_ID_SHIFT = 5
+SECRET_BYTES = 32
+MAC_BYTES = 16
+RESET_TOKEN_BYTES = 16
 
 _BLOCK = struct.Struct(">IHI6s")
 _TICKET = struct.Struct(">IIQd")
@@ -70,7 +70,8 @@
     number : int
         Unique within one incarnation; 64 bits.
     expires_at : float
-        Wall-clock time in seconds after which a retry is answered as unknown.
+        Time on the issuer's monotonic clock, in seconds, after which a retry is
+        answered as unknown.
     """
 
     upstream: int
@@ -87,12 +88,12 @@
     SettingError
         If `text` is not valid.
     """
-    allowed = f"{2 * SECRET_LENGTH} hexadecimal digits"
+    allowed = f"{2 * SECRET_BYTES} hexadecimal digits"
     try:
         secret = bytes.fromhex(text)
     except ValueError:
         raise SettingError(setting, "(hidden)", allowed) from None
-    if len(secret) != SECRET_LENGTH:
+    if len(secret) != SECRET_BYTES:
         raise SettingError(setting, f"(hidden, {len(secret)} bytes)", allowed)
     return secret
 
@@ -121,34 +122,36 @@
 
     def make_connection_id(self, route: Route, *, epoch: int, nonce: bytes) -> bytes:
         """Create a connection ID; `nonce` has 6 bytes."""
-        slot = epoch % KEY_SLOTS
+        config_id = epoch % CONFIG_ID_COUNT
         block = _BLOCK.pack(route.upstream, route.service, route.incarnation, nonce)
-        encryptor = _make_cipher(self.secrets[0], slot).encryptor()
-        first = (slot << KEY_SLOT_SHIFT) | BLOCK_LENGTH
+        encryptor = _make_cipher(self.secrets[0], config_id).encryptor()
+        first = (config_id << CONFIG_ID_SHIFT) | BLOCK_BYTES
         return bytes((first,)) + encryptor.update(block)
 
     def decode_connection_id(self, cid: bytes) -> tuple[Route, ...]:
         """Return one possible route per secret, that of the first secret first.
 
-        An ID that no agent issued decodes to numbers that are not configured,
-        except with a probability of about one in a billion.
+        An ID that no agent issued decodes to random numbers, which match a
+        configured upstream with a probability of about one in a billion.
         """
-        if len(cid) != CONNECTION_ID_LENGTH or cid[0] & LENGTH_MASK != BLOCK_LENGTH:
+        if len(cid) != CONNECTION_ID_LENGTH or cid[0] & LENGTH_MASK != BLOCK_BYTES:
             return ()
-        slot = cid[0] >> KEY_SLOT_SHIFT
-        if slot >= KEY_SLOTS:
+        config_id = cid[0] >> CONFIG_ID_SHIFT
+        if config_id >= CONFIG_ID_COUNT:
             return ()
-        return tuple(self._decode_route(secret, slot, cid) for secret in self.secrets)
+        return tuple(
+            self._decode_route(secret, config_id, cid) for secret in self.secrets
+        )
 
-    def _decode_route(self, secret: bytes, slot: int, cid: bytes) -> Route:
-        block = _make_decryptor(secret, slot).update(cid[1:])
+    def _decode_route(self, secret: bytes, config_id: int, cid: bytes) -> Route:
+        block = _make_decryptor(secret, config_id).update(cid[1:])
         upstream, service, incarnation, _nonce = _BLOCK.unpack(block)
         return Route(upstream, service, incarnation)
 
     def make_reset_token(self, cid: bytes) -> bytes:
         """Return the stateless reset token of a connection ID."""
         key = _derive_key(self.secrets[0], b"reset", 32)
-        digest = hashlib.blake2b(cid, key=key, digest_size=RESET_TOKEN_LENGTH)
+        digest = hashlib.blake2b(cid, key=key, digest_size=RESET_TOKEN_BYTES)
         return digest.digest()
 
     def make_tag(self, message: bytes) -> bytes:
@@ -196,20 +199,20 @@
 
 
 @functools.lru_cache(maxsize=64)
-def _make_cipher(secret: bytes, slot: int) -> Cipher:
-    key = _derive_key(secret, b"connection-id %d" % slot, 16)
+def _make_cipher(secret: bytes, config_id: int) -> Cipher:
+    key = _derive_key(secret, b"connection-id %d" % config_id, 16)
     return Cipher(algorithms.AES(key), modes.ECB())
 
 
 @functools.lru_cache(maxsize=64)
-def _make_decryptor(secret: bytes, slot: int) -> CipherContext:
+def _make_decryptor(secret: bytes, config_id: int) -> CipherContext:
     """Return a reusable context; in ECB mode blocks are independent."""
-    return _make_cipher(secret, slot).decryptor()
+    return _make_cipher(secret, config_id).decryptor()
 
 
 def _make_mac(secret: bytes, message: bytes) -> bytes:
     key = _derive_key(secret, b"frame", 32)
-    return hashlib.blake2b(message, key=key, digest_size=MAC_LENGTH).digest()
+    return hashlib.blake2b(message, key=key, digest_size=MAC_BYTES).digest()
 
 
 def verify_message(ring: KeyRing, signed: bytes) -> bytes:
@@ -220,8 +223,8 @@
     DecodeError
         If the tag is missing or wrong.
     """
-    tag, message = signed[:MAC_LENGTH], signed[MAC_LENGTH:]
-    if len(tag) < MAC_LENGTH or not ring.verify_tag(tag, message):
+    tag, message = signed[:MAC_BYTES], signed[MAC_BYTES:]
+    if len(tag) < MAC_BYTES or not ring.verify_tag(tag, message):
         raise DecodeError(f"message of {len(signed)} bytes has an invalid tag")
     return message
 
--- a/shedsill/http3/_outcomes.py
+++ b/shedsill/http3/_outcomes.py
@@ -15,7 +15,7 @@
 
 MAX_RECORDS = 20_000
 MAX_RECORDED_BODY_BYTES = 262_144
-MAX_RECORDED_BYTES = 64 * 1024 * 1024
+MAX_RECORDED_BYTES = 64 * 1024 * 1024  # of all recorded bodies
 TICKET_LIFETIME_SECONDS = 120.0
 
 
@@ -114,9 +114,9 @@
     )
 
 
-def get_local_expiry(table: OutcomeTable, key: IssuerKey, expires: float) -> float:
+def get_local_expiry(table: OutcomeTable, key: IssuerKey, expires_at: float) -> float:
     """Convert an expiry time from the issuer's clock to this node's."""
-    return expires + table.issuers.get(key, IssuerRecords()).clock_offset
+    return expires_at + table.issuers.get(key, IssuerRecords()).clock_offset
 
 
 def find_record(table: OutcomeTable, key: IssuerKey, number: int) -> Record | None:
@@ -209,7 +209,7 @@
             issuer=key,
             issuer_time=now - issuer.clock_offset,
             records=tuple(
-                (number, _shift(finalize_record(record), -issuer.clock_offset))
+                (number, _shift_expiry(finalize_record(record), -issuer.clock_offset))
                 for number, record in sorted(issuer.records.items(), key=_get_number)
             ),
         )
@@ -235,7 +235,7 @@
     offset = table.issuers[transfer.issuer].clock_offset
     for number, record in transfer.records:
         if find_record(table, transfer.issuer, number) is None:
-            shifted = _shift(record, offset)
+            shifted = _shift_expiry(record, offset)
             table = put_record(table, transfer.issuer, number, shifted)
     return table
 
@@ -248,7 +248,7 @@
     return item[0]
 
 
-def _shift(record: Record, offset: float) -> Record:
+def _shift_expiry(record: Record, offset: float) -> Record:
     return evolve(record, expires_at=record.expires_at + offset)
 
 
--- a/shedsill/http3/_peers.py
+++ b/shedsill/http3/_peers.py
@@ -154,7 +154,7 @@
         ) as reader:
             yield reader
     except (capnp.KjException, ValueError) as error:
-        raise DecodeError(f"not a valid message: {error}") from error
+        raise DecodeError(f"message is not valid: {error}") from error
 
 
 def _fill_answer(body: capnp._DynamicStructBuilder, answer: RecordedAnswer) -> None:
--- a/shedsill/http3/_placement.py
+++ b/shedsill/http3/_placement.py
@@ -3,7 +3,7 @@
 A balancer's first candidate depends only on the service, the caller's first
 connection ID and the accepted configuration, so every balancer sends all packets
 of a handshake to the same agent.  That agent compares loads and either keeps the
-flow or passes it on, at most once, to the alternate candidate.
+flow or forwards it, at most once, to the alternate candidate.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 @frozen(kw_only=True)
 class TwoCandidates:
-    """Pass a flow on if the alternate is less utilized by more than a margin.
+    """Forward a flow if the alternate is less utilized by more than a margin.
 
     A saturated upstream counts as more utilized than an unsaturated one,
     whatever their numbers of flows.
@@ -35,7 +35,8 @@
     Attributes
     ----------
     margin : float
-        Difference in flows above which a flow is passed on.
+        Difference in utilization above which a flow is forwarded, as a number of
+        flows at the first agent.
     stale_after : float
         Age in seconds above which the alternate's load is ignored.
     """
@@ -110,7 +111,7 @@
     *,
     slow_start_share: float = 1.0,
 ) -> bool:
-    """Whether the first agent should pass a new flow on to the alternate.
+    """Whether the first agent should forward a new flow to the alternate.
 
     Examples
     --------
@@ -132,8 +133,8 @@
                 return False
             if is_saturated(own) != is_saturated(alternate.load):
                 return is_saturated(own)
-            step = margin / max(own.flow_limit, 1)
+            min_difference = margin / max(own.flow_limit, 1)
             difference = get_utilization(
                 own, slow_start_share=slow_start_share
             ) - get_utilization(alternate.load)
-            return difference > step
+            return difference > min_difference
--- a/shedsill/http3/_requests.py
+++ b/shedsill/http3/_requests.py
@@ -79,7 +79,7 @@
 )
 from shedsill.http3._resources import RequestClass, RequestKind, match_class
 
-MAX_HOPS = 2
+MAX_HOPS = 2  # times that a request is forwarded to another agent
 
 Step = tuple[AgentState, list[Effect]]
 
--- a/shedsill/http3/_routing.py
+++ b/shedsill/http3/_routing.py
@@ -25,7 +25,7 @@
 from shedsill.http3._placement import can_accept_flow, rank_upstreams
 
 MAX_CALLER_BUCKETS = 10_000
-ANSWER_TIMEOUT_SECONDS = 0.4
+ANSWER_TIMEOUT_SECONDS = 0.4  # for an agent's answer to an Initial or probe
 UPSTREAMS_CHECKED_PER_HEARTBEAT = 32
 
 
@@ -227,7 +227,7 @@
 def _drop_full_buckets(
     callers: immutables.Map[CallerKey, Bucket], rate: Rate, now: float
 ) -> immutables.Map[CallerKey, Bucket]:
-    """Drop buckets that are full again; if too many are left, drop all."""
+    """Drop buckets that have been refilled; if too many remain, drop all."""
     refill = rate.burst / rate.per_second
     kept = {key: b for key, b in callers.items() if now - b.updated_at < refill}
     if len(kept) >= MAX_CALLER_BUCKETS:
@@ -279,8 +279,8 @@
 ) -> tuple[AcceptedUpstream, ...]:
     """Return the agents to probe: silent ones, and those idle for too long.
 
-    Each heartbeat checks a fixed number of upstreams, so that its cost does not
-    grow with their total number.
+    Each heartbeat checks the next `UPSTREAMS_CHECKED_PER_HEARTBEAT` upstreams, so
+    that its cost does not grow with their total number.
     """
     upstreams = configuration.upstreams
     start = heartbeat_number * UPSTREAMS_CHECKED_PER_HEARTBEAT % max(len(upstreams), 1)
--- a/shedsill/http3/_runtime/exchange.py
+++ b/shedsill/http3/_runtime/exchange.py
@@ -34,7 +34,7 @@
     on_read : callable
         Called when a part has been read, so that the flow control window can move.
     ended, aborted : bool
-        Whether the whole body has arrived, or its rest never will.
+        Whether the whole body has arrived, and whether the rest will never arrive.
     """
 
     on_read: Callable[[], None] = field(default=lambda: None)
@@ -149,15 +149,15 @@
 
 
 def encode_latin1(text: str) -> bytes:
-    """Encode a header name or value that has one character per byte."""
+    """Encode a header name or value that was decoded as Latin-1."""
     return text.encode("latin-1")
 
 
 def decode_aiohttp_text(text: str) -> str:
-    """Convert header text from aiohttp into text with one character per byte."""
+    """Convert header text from aiohttp into text decoded as Latin-1."""
     return text.encode("utf-8", "surrogateescape").decode("latin-1")
 
 
 def encode_aiohttp_text(text: str) -> str:
-    """Convert text with one character per byte into header text for aiohttp."""
+    """Convert text decoded as Latin-1 into header text for aiohttp."""
     return encode_latin1(text).decode("utf-8", "replace")
--- a/shedsill/http3/_runtime/flows.py
+++ b/shedsill/http3/_runtime/flows.py
@@ -43,7 +43,7 @@
 )
 
 KEEPALIVE_INTERVAL_SECONDS = 20.0
-MAX_UNSENT_BYTES = 262_144
+MAX_UNSENT_BYTES = 262_144  # per stream
 SEND_BUFFER_POLL_SECONDS = 0.01
 
 
--- a/shedsill/http3/_runtime/log.py
+++ b/shedsill/http3/_runtime/log.py
@@ -1,8 +1,9 @@
 """Log lines and event counters of `WriteLog` effects.
 
-Every event is counted.  Lines below the configured level are not written, and one in
-`sample` of the TRACE and DEBUG lines is.  Each event writes at most
-`MAX_LINES_PER_SECOND` lines, so that invalid packets cannot flood the log.
+Every event is counted.  Lines below the configured level are not written; of the
+TRACE and DEBUG lines of an event, one in `sample` is written.  Each event
+writes at most `MAX_LINES_PER_SECOND` lines, so that invalid packets cannot flood the
+log.
 """
 
 from __future__ import annotations
@@ -47,7 +48,7 @@
 
 @define
 class _RateLimit:
-    """Rate limit of one event's lines: those written in the current second."""
+    """Counters for sampling one event and limiting its lines per second."""
 
     window_second: int = 0
     lines_written: int = 0
--- a/shedsill/http3/_runtime/peers.py
+++ b/shedsill/http3/_runtime/peers.py
@@ -35,7 +35,7 @@
     async def forward_request(
         self, peer: Address, request: PeerRequest
     ) -> tuple[RecordedAnswer | None, bool]:
-        """Return the answer; if None, also whether the request was not accepted."""
+        """Return the answer, if any, and whether the request was not accepted."""
         url = f"http://{peer}{PEER_REQUEST_PATH}"
         limit = aiohttp.ClientTimeout(
             total=PEER_ANSWER_TIMEOUT_SECONDS, sock_connect=PEER_CONNECT_TIMEOUT_SECONDS
--- a/shedsill/http3/_runtime/quic.py
+++ b/shedsill/http3/_runtime/quic.py
@@ -35,11 +35,11 @@
 IDLE_TIMEOUT_SECONDS = 60.0
 MAX_UDP_PAYLOAD_BYTES = 1350
 MAX_UDP_PAYLOAD_PARAMETER_ID = 0x03
-MIN_RESET_SIZE = 21
-MAX_RESET_SIZE = 60
+MIN_RESET_BYTES = 21
+MAX_RESET_BYTES = 60
 FIXED_BIT = 0x40
 HEADER_FORM_BIT = 0x80
-CLIENT_BIDIRECTIONAL = 0b11
+STREAM_TYPE_MASK = 0b11  # 0 for client-initiated bidirectional streams
 
 
 @frozen(kw_only=True)
@@ -51,7 +51,7 @@
 
 
 class RoutedConnection(QuicConnection):
-    """A server connection with routed IDs and windows that follow the reader.
+    """A server connection that encodes routes in its IDs and limits unread data.
 
     Attributes
     ----------
@@ -103,7 +103,7 @@
     def _write_stream_limits(self, builder, space, stream) -> None:
         """Limit a stream to one window beyond what the reader has consumed."""
         stream_id = stream.stream_id
-        if stream_id & CLIENT_BIDIRECTIONAL or stream_id not in self.unread_bytes:
+        if stream_id & STREAM_TYPE_MASK or stream_id not in self.unread_bytes:
             super()._write_stream_limits(builder, space, stream)
             return
         consumed = stream.receiver.starting_offset() - self.unread_bytes[stream_id]
@@ -149,9 +149,7 @@
 
 def send_goaway(http: H3Connection, quic: QuicConnection) -> None:
     """Send GOAWAY, so that the caller opens no further requests."""
-    last = max(
-        (sid for sid in quic._streams if not sid & CLIENT_BIDIRECTIONAL), default=0
-    )
+    last = max((sid for sid in quic._streams if not sid & STREAM_TYPE_MASK), default=0)
     frame = encode_frame(FrameType.GOAWAY, encode_uint_var(last + 4))
     if http._local_control_stream_id is not None:
         quic.send_stream_data(http._local_control_stream_id, frame)
@@ -191,8 +189,8 @@
 
     Returns None if that would be too small for a stateless reset.
     """
-    length = min(size - 1, MAX_RESET_SIZE)
-    if length < MIN_RESET_SIZE:
+    length = min(size - 1, MAX_RESET_BYTES)
+    if length < MIN_RESET_BYTES:
         return None
     head = bytearray(random_bytes(length - len(token)))
     head[0] = (head[0] & ~HEADER_FORM_BIT) | FIXED_BIT
--- a/shedsill/http3/_runtime/upstream.py
+++ b/shedsill/http3/_runtime/upstream.py
@@ -57,7 +57,7 @@
         ...
 
     async def write(self, data: bytes) -> None:
-        """Send a part of the body; waits while the caller is too slow."""
+        """Send a part of the body, once there is room in the send buffer."""
         ...
 
     def end(self) -> None:
@@ -166,7 +166,10 @@
             if name.lower() not in HOP_BY_HOP_HEADERS
         )
         if not _is_framed(response):
-            return FailedCall(sent=True, reason="the response has no framing")
+            return FailedCall(
+                sent=True,
+                reason="response has neither Content-Length nor chunked encoding",
+            )
         parts: list[bytes] = []
         size = 0
         relay = None
--- a/shedsill/http3/frames.capnp
+++ b/shedsill/http3/frames.capnp
@@ -1,29 +1,29 @@
 @0xc2f1a7d35b8e9d61;
-# Messages between nodes.  Each travels behind an authentication tag, in one
-# UDP datagram (Frame) or as the body of one HTTP request (PeerRequest,
-# PeerAnswer, Handover).
+# Messages between nodes.  Each is prefixed with an authentication tag and sent as
+# one UDP datagram (Frame), or as the body of one HTTP request (PeerRequest,
+# Handover) or response (PeerAnswer).
 
 struct Load {
   flows @0 :UInt32;
   flowLimit @1 :UInt32;
-  busy @2 :UInt32;        # requests at work or waiting
+  busy @2 :UInt32;        # running and queued requests
   slots @3 :UInt32;
-  open @4 :Bool;          # whether new flows are wanted
+  open @4 :Bool;          # whether the agent accepts new flows
 }
 
 struct Candidate {
   upstream @0 :UInt32;
   load @1 :Load;
-  ageMillis @2 :UInt32;
+  ageMillis @2 :UInt32;   # time since the balancer received the load
 }
 
 struct ToUpstream {
   upstream @0 :UInt32;
   host @1 :Text;
   port @2 :UInt16;
-  alternate @3 :Candidate;  # absent once the first agent has passed it on
-  passed @4 :Bool;
-  replyHost @5 :Text;       # balancer to answer through, where passed on
+  alternate @3 :Candidate;  # absent if there is none, or if forwarded
+  passed @4 :Bool;          # whether another agent forwarded the datagram
+  replyHost @5 :Text;       # balancer that received the datagram, if forwarded
   replyPort @6 :UInt16;
   datagram @7 :Data;
 }
@@ -48,10 +48,10 @@
 }
 
 struct Heartbeat {
-  upstream @0 :UInt32;      # 0 where the sender is a balancer
+  upstream @0 :UInt32;      # 0 if the sender is a balancer
   load @1 :Load;
   reports @2 :List(NodeReport);
-  probe @3 :Bool;           # whether an answer is wanted
+  probe @3 :Bool;           # whether the receiver has to answer
 }
 
 struct Frame {
@@ -99,7 +99,7 @@
 struct Transfer {
   upstream @0 :UInt32;
   incarnation @1 :UInt32;
-  clock @2 :Float64;
+  clock @2 :Float64;        # issuer's monotonic clock when sent, in seconds
   records @3 :List(Record);
 }
 
