--- a/properties/test_world.py
+++ b/properties/test_world.py
@@ -45,7 +45,7 @@
         self.work_count = 0
 
     @initialize(seed=indexes)
-    def start_world(self, seed: int) -> None:
+    def start_simulation(self, seed: int) -> None:
         self.simulation = Simulation(seed=seed)
         for name in BALANCERS:
             self.simulation.start_balancer(name)
--- a/shedsill/_cli/settings.py
+++ b/shedsill/_cli/settings.py
@@ -117,7 +117,7 @@
     >>> parse_rate("--x", "50/500")
     Rate(per_second=50.0, burst=500.0)
     """
-    allowed = "PER_SECOND/BURST, such as 50/500; BURST at least 1"
+    allowed = "PER_SECOND/BURST, such as 50/500; above 0, BURST at least 1"
     per_second, _, burst = text.partition("/")
     try:
         rate = Rate(per_second=float(per_second), burst=float(burst))
--- a/shedsill/tests/test_datagram_flows.py
+++ b/shedsill/tests/test_datagram_flows.py
@@ -261,7 +261,7 @@
 def test_host_reused_by_another_service_gets_no_flow(
     simulation: Simulation,
 ) -> None:
-    """The world fails if a SYN reaches the wrong service."""
+    """The simulation fails if a SYN reaches the wrong service."""
     simulation.kill(A1)
     simulation.crash_upstream(A1)
     del simulation.upstreams[A1]
--- a/shedsill/tests/test_datagram_overload.py
+++ b/shedsill/tests/test_datagram_overload.py
@@ -84,7 +84,7 @@
     assert _slots.can_answer_in_time(state, build_syn(), 1.0)
 
 
-def create_world(upstreams: int, overloaded: int) -> Simulation:
+def create_simulation(upstreams: int, overloaded: int) -> Simulation:
     simulation = Simulation(services=("dispatcher",))
     hosts = [f"10.1.0.{number}" for number in range(1, upstreams + 1)]
     for host in hosts:
@@ -105,7 +105,7 @@
 
 
 def test_flow_is_reset_at_once_if_no_upstream_can_answer_in_time() -> None:
-    simulation = create_world(MAX_OVERLOADED_OFFERS + 2, MAX_OVERLOADED_OFFERS + 2)
+    simulation = create_simulation(MAX_OVERLOADED_OFFERS + 2, MAX_OVERLOADED_OFFERS + 2)
     caller = simulation.add_caller("dispatcher", "10.0.0.1")
     simulation.run(0.05)
     assert caller.outcome == "reset"
@@ -115,7 +115,7 @@
 
 
 def test_flows_refused_by_overloaded_upstream_go_to_another_one() -> None:
-    simulation = create_world(2, 1)
+    simulation = create_simulation(2, 1)
     callers = [simulation.add_caller("dispatcher", "10.0.0.1") for _ in range(3)]
     simulation.run(0.5)
     assert [caller.outcome for caller in callers] == ["answered"] * 3
