--- a/properties/test_datagram_messages.py
+++ b/properties/test_datagram_messages.py
@@ -1,8 +1,4 @@
-"""A balancer handles any series of messages without an error.
-
-Messages may be late, name a flow twice, or name flows that were not asked about and
-unknown nodes.
-"""
+"""A balancer handles late, repeated and unrequested messages without an error."""
 
 from __future__ import annotations
 
--- a/properties/test_datagram_world.py
+++ b/properties/test_datagram_world.py
@@ -1,9 +1,6 @@
-"""Stateful fuzzing of datagram nodes with faults and planned operations.
+"""Random faults and planned operations, with the reducers of the datagram nodes.
 
-The nodes are the real reducers, run by `shedsill.testing.datagram_simulation`.
-Simulated callers and upstreams raise `InvariantError` if a packet is changed or reaches
-the wrong service, or if a flow is reset that its upstream still holds.  Nodes are
-always back before they are declared lost, so that no open flow may be reset.
+Guards against changed packets, the wrong service, and resets of flows that are alive.
 """
 
 from __future__ import annotations
@@ -38,7 +35,7 @@
 
 
 class FlowsMachine(RuleBasedStateMachine):
-    """One deployment under random operations and faults."""
+    """Nodes are back before they count as lost, so that no open flow may be reset."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/properties/test_world.py
+++ b/properties/test_world.py
@@ -1,9 +1,6 @@
-"""Stateful fuzzing of the HTTP/3 reducers against the oracle of `Simulation`.
+"""Random faults and planned operations, with the HTTP/3 reducers and their oracle.
 
-CI runs a fixed number of seeded examples.  A longer run, which prints its number of
-steps:
-
-    SHEDSILL_FUZZ_EXAMPLES=2000 python -m pytest -s properties/test_world.py
+Guards against broken promises to callers; SHEDSILL_FUZZ_EXAMPLES sets the examples.
 """
 
 from __future__ import annotations
--- a/shedsill/_connections.py
+++ b/shedsill/_connections.py
@@ -15,9 +15,8 @@
 KEEPALIVE_IDLE_SECONDS = 1
 KEEPALIVE_INTERVAL_SECONDS = 1
 KEEPALIVE_PROBES = 2
-"""Idle time before the first probe, interval between probes, and number of unanswered
-probes after which the kernel closes a connection.  The total of 3 s leaves time to
-read the configuration over a new connection within 4 s."""
+"""Unanswered probes after which the kernel closes a connection: after 3 s in all, which
+leaves time to read the configuration over a new connection within 4 s."""
 
 
 def enable_keepalive(sock: socket.socket) -> None:
--- a/shedsill/datagram/_agent.py
+++ b/shedsill/datagram/_agent.py
@@ -41,9 +41,8 @@
 up a SYN without an answer after 1.4 s."""
 
 MAX_TRIAL_FLOWS = 4096
-"""Limit of flows whose trial packet the upstream has neither answered nor bounced.
-Beyond it the list is cleared: the upstream's packets still show that it holds such
-flows, but their balancers learn it later."""
+"""Limit of flows whose trial packet the upstream has not answered; beyond it the list
+is cleared, and their balancers are informed later, by the upstream's packets."""
 
 SWEEP_INTERVAL_SECONDS = 0.5
 """Interval between sweeps that remove idle flows."""
--- a/shedsill/datagram/_failure_detection.py
+++ b/shedsill/datagram/_failure_detection.py
@@ -24,8 +24,7 @@
 
 LOST_AFTER_SECONDS = 1.0
 """Silence after which an agent is lost and its flows are reset: well above the pauses
-of 0.1 s of a throttled VM, and below all request deadlines, so that callers can
-retry."""
+of a throttled VM (0.1 s), and below all request deadlines."""
 
 STOPPING_LOST_AFTER_SECONDS = 2.5
 """The same for an agent that has announced its stop; its restart beside a running
--- a/shedsill/datagram/_runtime/balancer.py
+++ b/shedsill/datagram/_runtime/balancer.py
@@ -66,9 +66,8 @@
 """Timeout of a watch; a long one saves store calls."""
 
 COLLECTOR_WATCH_TIMEOUT_SECONDS = 2.0
-"""Timeout of a watch at the collector, which passes the changes on to the others.
-A store that stops answering on an open connection is detected after this time and
-the margin of a watch."""
+"""Timeout of a watch at the collector; a store that stops answering on an open
+connection is detected after this time and the margin of a watch."""
 
 SHORT_WATCH_TIMEOUT_SECONDS = 0.02
 """Timeout of a watch that only fetches the changes up to now."""
--- a/shedsill/datagram/_selection.py
+++ b/shedsill/datagram/_selection.py
@@ -14,9 +14,8 @@
 below 1, so that a free remote slot is preferred to a local queue."""
 
 PREFERRED_HOST_COUNT = 4
-"""Agents in the balancer's zone that are preferred for a flow.  Choosing the least
-loaded of a few random ones spreads load nearly as evenly as choosing among all, and
-keeps many balancers from picking the same agent at once."""
+"""Agents in the balancer's zone that are preferred for a flow; a few, so that many
+balancers do not choose the same least loaded agent at once."""
 
 UNPREFERRED_PENALTY = 0.5
 """Utilization added for agents in the same zone that are not preferred."""
--- a/shedsill/datagram/_upstream.py
+++ b/shedsill/datagram/_upstream.py
@@ -40,9 +40,8 @@
 boot is accepted: two and a half heartbeat intervals of 1.2 s."""
 
 UNANSWERED_LIMIT_SECONDS = 0.4
-"""Time without any answer of the upstream after which its port is checked.  It
-acknowledges within milliseconds, and callers retransmit after 0.2 s, so that two
-packets are unanswered by then."""
+"""Time without any answer of the upstream after which its port is checked; callers
+retransmit after 0.2 s, so that two packets are unanswered by then."""
 
 CHECK_INTERVAL_SECONDS = 0.4
 """Time between checks of the port of an upstream that does not answer."""
--- a/shedsill/tests/test_acceptance.py
+++ b/shedsill/tests/test_acceptance.py
@@ -1,8 +1,4 @@
-"""Tests for the removal of a draining upstream whose agent is lost.
-
-An acceptor that has just started, or has had no live peers, must not conclude from
-the missing reports that an upstream has no flows left.
-"""
+"""Guards against removal of a draining upstream by an acceptor without live peers."""
 
 from __future__ import annotations
 
--- a/shedsill/tests/test_connections.py
+++ b/shedsill/tests/test_connections.py
@@ -1,8 +1,4 @@
-"""Clients of the HTTP/3 daemons on connections that are slow or go silent.
-
-Large responses over slow links must not time out, and watches must not wait forever on
-connections that went silent without a reset.
-"""
+"""Guards the HTTP/3 daemons against slow responses and connections that go silent."""
 
 from __future__ import annotations
 
--- a/shedsill/tests/test_datagram_pauses.py
+++ b/shedsill/tests/test_datagram_pauses.py
@@ -1,8 +1,4 @@
-"""Pauses of an agent's process.
-
-Packets and heartbeats are read only after a pause: the first tick after it must not
-count the pause as silence of callers or the upstream.
-"""
+"""Guards against counting a pause of an agent as silence of callers or the upstream."""
 
 from __future__ import annotations
 
--- a/shedsill/tests/test_datagram_report_polling.py
+++ b/shedsill/tests/test_datagram_report_polling.py
@@ -1,8 +1,5 @@
-"""Reads of node reports from the store.
-
-Guards against calls that grow with the number of balancers, and against resets of flows
-whose agents only the store knows.
-"""
+"""Guards against store calls that grow with the number of balancers, and against resets
+of flows whose agents only the store knows."""
 
 from __future__ import annotations
 
--- a/shedsill/tests/test_faults.py
+++ b/shedsill/tests/test_faults.py
@@ -1,9 +1,4 @@
-"""Fault matrix: every fault at every step, with the reducers of the nodes.
-
-Each case brings a small system to a step, injects a fault and repairs it.  Then the
-oracle must hold, every request on an unbroken flow must be answered, and all nodes
-must have the same configuration.
-"""
+"""Fault matrix: each fault at each step leaves flows, answers and nodes consistent."""
 
 from __future__ import annotations
 
