--- a/shedsill/datagram/_reducer.py
+++ b/shedsill/datagram/_reducer.py
@@ -106,7 +106,7 @@
         case StopRequested():
             return _balancer.handle_stop(state, event)
         case _:
-            raise InvariantError(f"{type(event).__name__} is not a balancer's event")
+            raise InvariantError(f"balancer received {type(event).__name__}")
 
 
 def _reduce_agent(state: AgentState, event: Event) -> list[Effect]:
@@ -132,4 +132,4 @@
         case StopRequested():
             return _agent.handle_stop(state, event)
         case _:
-            raise InvariantError(f"{type(event).__name__} is not an agent's event")
+            raise InvariantError(f"agent received {type(event).__name__}")
--- a/shedsill/testing/datagram_simulation.py
+++ b/shedsill/testing/datagram_simulation.py
@@ -1,7 +1,7 @@
 """Deterministic simulation of opaque flows: callers, balancers, agents, upstreams.
 
 The nodes run their real reducers and exchange real packets.  Time advances only in
-`Simulation.run`.  Callers and upstreams raise `InvariantError` if a packet was altered,
+`Simulation.run`.  Callers and upstreams raise `ViolationError` if a packet was altered,
 if a flow reaches the wrong service, or if a flow is reset while its upstream holds it.
 """
 
--- a/shedsill/testing/flow_endpoints.py
+++ b/shedsill/testing/flow_endpoints.py
@@ -2,7 +2,7 @@
 
 Both exchange real packets through a `send` function and set timers through a
 `schedule` function, so that they work in memory and over sockets.  They raise
-`InvariantError` if a packet was altered, if a SYN reaches the wrong service, or if a
+`ViolationError` if a packet was altered, if a SYN reaches the wrong service, or if a
 flow is reset while its upstream holds it.
 """
 
@@ -17,7 +17,7 @@
 from shedsill.datagram._messages import UpstreamState
 from shedsill.datagram._packet import ACK, BOUNCED, RST, SEQUENCE_SPACE, SYN, Packet
 from shedsill.platform.packets import HeaderCodec
-from shedsill.testing.simulation_parts import InvariantError
+from shedsill.testing.simulation_parts import ViolationError
 
 CODEC = HeaderCodec()
 FLAG_BITS = {SYN: 4, ACK: 128, RST: 32, BOUNCED: 2}
@@ -74,9 +74,9 @@
 
 
 def check_packet(data: bytes) -> None:
-    """Raise `InvariantError` if a packet does not match its checksum."""
+    """Raise `ViolationError` if a packet does not match its checksum."""
     if compute_checksum(data) != struct.unpack_from(">I", data, 32)[0]:
-        raise InvariantError("packet was changed in transit: checksum mismatch")
+        raise ViolationError("packet was changed in transit: checksum mismatch")
 
 
 def decode_endpoints(flow: bytes) -> tuple[Endpoint, Endpoint]:
@@ -141,7 +141,7 @@
     def _handle_syn(self, flow: bytes) -> None:
         _caller, service = decode_endpoints(flow)
         if service[1] != self.port:
-            raise InvariantError(
+            raise ViolationError(
                 f"flow to service port {service[1]} reached an upstream of port "
                 f"{self.port}"
             )
@@ -260,7 +260,7 @@
     def _handle_reset(self) -> None:
         if self.is_open and self.is_flow_held(self.flow):
             port = self.address[1]
-            raise InvariantError(
+            raise ViolationError(
                 f"flow from caller port {port} was reset while an upstream holds it"
             )
         self.outcome = "reset"
--- a/shedsill/testing/http3_simulation.py
+++ b/shedsill/testing/http3_simulation.py
@@ -74,13 +74,13 @@
     FlowAccepted,
     FrameMessage,
     HandoverCall,
-    InvariantError,
     Message,
     PeerCall,
     PendingCancel,
     PlatformMessage,
     PullMessage,
     UpstreamRun,
+    ViolationError,
 )
 
 KEYS = KeyRing((bytes(range(32)),))
@@ -417,7 +417,7 @@
             if self.now >= end:
                 return
             self.advance(step)
-        raise InvariantError(
+        raise ViolationError(
             f"time did not reach {end} within {MAX_SETTLE_STEPS} steps"
         )
 
@@ -428,7 +428,7 @@
                 return
             self.deliver_message(0)
         kinds = sorted({type(message).__name__ for message in self.messages})
-        raise InvariantError(
+        raise ViolationError(
             f"messages remain after {MAX_DELIVERIES} deliveries: "
             f"{kinds} {self.messages[:4]}"
         )
@@ -474,7 +474,7 @@
         process.state, emitted = reduce(process.state, event)
         generation = process.state.node.configuration.generation
         if generation < process.highest_generation:
-            raise InvariantError(
+            raise ViolationError(
                 f"{name} went from generation {process.highest_generation} "
                 f"back to {generation}"
             )
@@ -600,7 +600,7 @@
 
     def _exit_process(self, process: FakeProcess) -> None:
         if any(flow.caller_flow.attempts for flow in process.flows.values()):
-            raise InvariantError(f"{process.name} exited with open flows")
+            raise ViolationError(f"{process.name} exited with open flows")
         process.has_exited = True
 
     def _execute_for_request(self, process: FakeProcess, effect: Effect) -> None:
@@ -654,7 +654,7 @@
         )
         upstream.journal.append(run)
         if attempt.flow.service != upstream.service:
-            raise InvariantError(
+            raise ViolationError(
                 f"{attempt.job} for {attempt.flow.service} ran on an upstream of "
                 f"{upstream.service}"
             )
@@ -742,7 +742,7 @@
         for route in KEYS.decode_connection_id(cid):
             foreign = route.service != state.service
             if foreign or route.incarnation != state.incarnation:
-                raise InvariantError(f"{process.name} received a packet for {route}")
+                raise ViolationError(f"{process.name} received a packet for {route}")
 
     def _open_agent_flow(
         self, process: FakeProcess, effect: effects.Deliver, first_cid: bytes
@@ -830,7 +830,7 @@
         if payload.outcome == RequestOutcome.DONE:
             expected = f"done {attempt.job}".encode()
             if payload.body != expected:
-                raise InvariantError(
+                raise ViolationError(
                     f"{attempt.job} was answered with {payload.body!r}, "
                     f"expected {expected!r}"
                 )
@@ -998,11 +998,11 @@
             waiting = attempt.outcome is None and not attempt.cancelled
             waiting = waiting and attempt.path != "/stream"
             if waiting and not attempt.flow.is_broken:
-                raise InvariantError(f"{attempt.job} was never answered")
+                raise ViolationError(f"{attempt.job} was never answered")
         generations = {
             process.state.node.configuration.generation
             for process in self.nodes.values()
             if not process.has_exited
         }
         if len(generations) != 1:
-            raise InvariantError(f"nodes disagree on the generation: {generations}")
+            raise ViolationError(f"nodes disagree on the generation: {generations}")
--- a/shedsill/testing/invariants.py
+++ b/shedsill/testing/invariants.py
@@ -10,8 +10,8 @@
     Attempt,
     FakeProcess,
     FakeUpstream,
-    InvariantError,
     UpstreamRun,
+    ViolationError,
 )
 
 
@@ -20,7 +20,7 @@
     for upstream in upstreams:
         busy = len(upstream.list_running())
         if busy > upstream.slots:
-            raise InvariantError(
+            raise ViolationError(
                 f"{upstream.name} runs {busy} requests, more than its slots"
             )
 
@@ -36,7 +36,7 @@
                 runs.setdefault(run.attempt.job, []).append(run)
     for job, job_runs in runs.items():
         if len(job_runs) > 1:
-            raise InvariantError(f"{job} ran {len(job_runs)} times")
+            raise ViolationError(f"{job} ran {len(job_runs)} times")
     for attempt in attempts:
         if attempt.outcome == RequestOutcome.NOT_RUN and attempt.path == "/claim":
             _check_refused_attempt(attempt, runs.get(attempt.job, []))
@@ -46,7 +46,7 @@
     for run in runs:
         same_key = run.attempt.key == attempt.key
         if same_key or run.attempt.sent_position <= attempt.answered_position:
-            raise InvariantError(f"{attempt.job} ran although it was refused")
+            raise ViolationError(f"{attempt.job} ran although it was refused")
 
 
 def check_generations(
@@ -57,6 +57,6 @@
         configuration = process.state.node.configuration
         first_seen = accepted.setdefault(configuration.generation, configuration)
         if first_seen != configuration:
-            raise InvariantError(
+            raise ViolationError(
                 f"generation {configuration.generation} has two configurations"
             )
--- a/shedsill/testing/simulation_parts.py
+++ b/shedsill/testing/simulation_parts.py
@@ -17,7 +17,7 @@
 from shedsill.http3._outcomes import Transfer
 
 
-class InvariantError(AssertionError):
+class ViolationError(AssertionError):
     """An invariant of the system does not hold."""
 
 
