--- a/shedsill/tests/test_connections.py
+++ b/shedsill/tests/test_connections.py
@@ -15,19 +15,19 @@
 from shedsill.http3._runtime.upstream import UpstreamClient
 from shedsill.testing.slow_server import serve_slow_response
 
-TIMEOUT = 0.4
+TIMEOUT_SECONDS = 0.4
 CONTENT = json.dumps({"items": [], "revision": 7, "padding": "x" * 60}).encode()
-PARTS = 6
+PART_COUNT = 6
 MAX_DETECTION_SECONDS = 4.0
 """Time within which a silent connection has to be detected."""
 
 
 async def run_with_slow_server(
-    pause: float, use: Callable[[str], Awaitable[object]], *, parts: int = PARTS
+    pause: float, use: Callable[[str], Awaitable[object]], *, parts: int = PART_COUNT
 ) -> object:
     """Respond in parts with pauses, and never send the last ones."""
 
-    step = len(CONTENT) // PARTS + 1
+    step = len(CONTENT) // PART_COUNT + 1
     content = [CONTENT[start : start + step] for start in range(0, len(CONTENT), step)]
     head = "Connection: close\r\nContent-Type: application/json\r\n"
     async with serve_slow_response(
@@ -37,7 +37,7 @@
 
 
 async def list_resources(url: str) -> object:
-    platform = HttpPlatform(url, timeout=TIMEOUT)
+    platform = HttpPlatform(url, timeout=TIMEOUT_SECONDS)
     try:
         return await platform.call(List(kinds=("service",)))
     finally:
@@ -45,7 +45,7 @@
 
 
 def test_slow_list_is_read_completely() -> None:
-    outcome = asyncio.run(run_with_slow_server(TIMEOUT / 3, list_resources))
+    outcome = asyncio.run(run_with_slow_server(TIMEOUT_SECONDS / 3, list_resources))
     assert isinstance(outcome, Listing)
     assert outcome.revision == 7
 
--- a/shedsill/tests/test_datagram_backlog.py
+++ b/shedsill/tests/test_datagram_backlog.py
@@ -14,7 +14,7 @@
     choose_next_request,
 )
 
-SERVICE = 0.05
+SERVICE_SECONDS = 0.05
 SLOTS = 2
 
 
@@ -22,8 +22,8 @@
     fields = {
         "slots": SLOTS,
         "cold_until": 0.0,
-        "cold_service_time": 2 * SERVICE,
-        "service_time": SERVICE,
+        "cold_service_time": 2 * SERVICE_SECONDS,
+        "service_time": SERVICE_SECONDS,
         **parts,
     }
     return Forecast(now=now, **fields)
@@ -83,7 +83,7 @@
             next_arrival += gap
         if backlog.requests:
             started[take_next(backlog, build_forecast(now))] = now
-        now += SERVICE / SLOTS
+        now += SERVICE_SECONDS / SLOTS
     return started
 
 
@@ -98,7 +98,7 @@
     backlog = Backlog()
     queue_request(backlog, b"urgent, late", 0.0, urgency=0)
     queue_request(backlog, b"fresh", 0.1)
-    now = 0.2 - SERVICE / 2
+    now = 0.2 - SERVICE_SECONDS / 2
     assert take_next(backlog, build_forecast(now)) == b"fresh"
 
 
@@ -136,20 +136,22 @@
     backlog = Backlog()
     for number in range(60):
         queue_request(backlog, b"old%d" % number, number / 1000)
-    started = run_queue(backlog, 0.5, 6.0, gap=SERVICE)
+    started = run_queue(backlog, 0.5, 6.0, gap=SERVICE_SECONDS)
     for number in range(60):
-        assert started[b"old%d" % number] + SERVICE <= 2.0 + number / 1000
+        assert started[b"old%d" % number] + SERVICE_SECONDS <= 2.0 + number / 1000
     for number in range(60):
-        asked = 0.5 + number * SERVICE
-        assert started[b"new%d" % number] + SERVICE <= asked + 2.0
+        asked = 0.5 + number * SERVICE_SECONDS
+        assert started[b"new%d" % number] + SERVICE_SECONDS <= asked + 2.0
 
 
 def test_fresh_requests_meet_objective_again_after_late_ones() -> None:
     backlog = Backlog()
     for number in range(40):
         queue_request(backlog, b"old%d" % number, number / 1000)
-    started = run_queue(backlog, 0.5, 6.0, gap=SERVICE)
-    in_time = [started[b"new%d" % n] - (0.5 + n * SERVICE) < 0.15 for n in range(90)]
+    started = run_queue(backlog, 0.5, 6.0, gap=SERVICE_SECONDS)
+    in_time = [
+        started[b"new%d" % n] - (0.5 + n * SERVICE_SECONDS) < 0.15 for n in range(90)
+    ]
     assert all(in_time[40:])
 
 
@@ -157,12 +159,12 @@
     """At twice the service rate for ten timeouts, two thirds of the answers after the
     first two timeouts meet their objective, and late requests are answered too."""
     backlog = Backlog()
-    gap = SERVICE / SLOTS / 2
+    gap = SERVICE_SECONDS / SLOTS / 2
     started = run_queue(backlog, 0.0, 20.0, gap=gap)
     waits = [
         now - int(flow[3:]) * gap for flow, now in started.items() if now > 2 * 2.0
     ]
-    in_time = sum(wait + SERVICE <= 0.2 for wait in waits) / len(waits)
+    in_time = sum(wait + SERVICE_SECONDS <= 0.2 for wait in waits) / len(waits)
     assert in_time > 1 - 1 / SLOTS_PER_LATE_REQUEST - 0.05
     assert in_time < 1.0
 
@@ -181,7 +183,7 @@
     backlog = Backlog()
     queue_request(backlog, b"urgent", 0.0, urgency=0)
     queue_request(backlog, b"page", 0.0, urgency=2)
-    now = 2.0 - SERVICE
+    now = 2.0 - SERVICE_SECONDS
     assert take_next(backlog, build_forecast(now, slots=1)) == b"urgent"
 
 
@@ -224,7 +226,7 @@
     backlog = Backlog(syn_lost_at=1.0)
     queue_request(backlog, b"again", 1.1, timeout=2.5)
     queue_request(backlog, b"fresh", 1.9, timeout=2.5)
-    due = 1.1 + 2.5 - EARLIER_ATTEMPT_SECONDS - 2 * SERVICE
+    due = 1.1 + 2.5 - EARLIER_ATTEMPT_SECONDS - 2 * SERVICE_SECONDS
     assert choose_next_request(backlog, build_forecast(due - 0.05)) == b"fresh"
     assert choose_next_request(backlog, build_forecast(due + 0.01)) == b"again"
 
--- a/shedsill/tests/test_datagram_http.py
+++ b/shedsill/tests/test_datagram_http.py
@@ -11,31 +11,31 @@
 from shedsill.datagram._runtime.http import HttpClient, Response, _ServerProtocol
 from shedsill.testing.slow_server import serve_slow_response
 
-TIMEOUT = 0.4
-PARTS = 6
+TIMEOUT_SECONDS = 0.4
+PART_COUNT = 6
 BODY = b"0123456789"
 
 
-async def fetch(pause: float, *, parts: int = PARTS) -> Response:
+async def fetch(pause: float, *, parts: int = PART_COUNT) -> Response:
     """Request a response whose parts are sent with pauses between them.
 
     The header announces `PARTS` parts, of which `parts` are sent.
     """
 
     async with serve_slow_response(
-        [BODY] * PARTS, pause=pause, sent_count=parts
+        [BODY] * PART_COUNT, pause=pause, sent_count=parts
     ) as port:
         client = HttpClient(Address("127.0.0.1", port))
         try:
-            return await client.request("GET", "/", None, timeout=TIMEOUT)
+            return await client.request("GET", "/", None, timeout=TIMEOUT_SECONDS)
         finally:
             client.close()
 
 
 def test_slow_response_is_read_completely() -> None:
     """Balancers on slow links could not read a large configuration in one timeout."""
-    response = asyncio.run(fetch(TIMEOUT / 4))
-    assert response.body == BODY * PARTS
+    response = asyncio.run(fetch(TIMEOUT_SECONDS / 4))
+    assert response.body == BODY * PART_COUNT
 
 
 def test_stalled_response_times_out() -> None:
@@ -45,7 +45,7 @@
 
 def test_response_that_does_not_start_times_out() -> None:
     with pytest.raises(TimeoutError):
-        asyncio.run(fetch(3 * TIMEOUT))
+        asyncio.run(fetch(3 * TIMEOUT_SECONDS))
 
 
 KEEPALIVE = (
@@ -66,7 +66,7 @@
     server = await loop.create_server(lambda: protocol, "127.0.0.1", 0)
     client = HttpClient(Address("127.0.0.1", server.sockets[0].getsockname()[1]))
     try:
-        await client.request("GET", "/", None, timeout=TIMEOUT)
+        await client.request("GET", "/", None, timeout=TIMEOUT_SECONDS)
         ends = [protocol._transport, client._idle[0].transport]
         sockets = [end.get_extra_info("socket") for end in ends if end is not None]
         return [[sock.getsockopt(*option) for option in KEEPALIVE] for sock in sockets]
--- a/shedsill/tests/test_datagram_isolation.py
+++ b/shedsill/tests/test_datagram_isolation.py
@@ -12,7 +12,7 @@
 from shedsill.testing.datagram_simulation import PacketLoss, Simulation
 from shedsill.testing.flow_endpoints import Caller
 
-B1, B2, B3 = "10.0.0.1", "10.0.0.2", "10.0.0.3"
+BALANCER_1, BALANCER_2, BALANCER_3 = "10.0.0.1", "10.0.0.2", "10.0.0.3"
 AGENTS = tuple(f"10.1.0.{number}" for number in range(1, 9))
 MANY_REQUESTS = 40
 """Requests on a flow that lasts longer than a test."""
@@ -24,13 +24,13 @@
     simulation = Simulation(services=("dispatcher",))
     for host in AGENTS:
         simulation.add_agent(host, "dispatcher", knows_all_flows=True)
-    for host in (B1, B2):
+    for host in (BALANCER_1, BALANCER_2):
         simulation.add_balancer(host)
     simulation.run(3.0)
     return simulation
 
 
-def open_flows(simulation: Simulation, balancer: str = B1) -> list[Caller]:
+def open_flows(simulation: Simulation, balancer: str = BALANCER_1) -> list[Caller]:
     """Return callers with long flows that are spread over the upstreams."""
     callers = []
     for _ in range(3 * len(AGENTS)):
@@ -63,10 +63,11 @@
 ) -> None:
     open_flows(simulation)
     if restarted:
-        restart_balancer(simulation, B1)
+        restart_balancer(simulation, BALANCER_1)
     unreachable = set(AGENTS)
     simulation.is_lost = lambda source, host: (
-        (source in unreachable and host == B1) or (source == B1 and host in unreachable)
+        (source in unreachable and host == BALANCER_1)
+        or (source == BALANCER_1 and host in unreachable)
     )
     simulation.run(isolation)
     for host in AGENTS:
@@ -82,7 +83,7 @@
     simulation: Simulation, seed: int
 ) -> None:
     open_flows(simulation)
-    simulation.is_lost = PacketLoss(B1, 0.6, seed)
+    simulation.is_lost = PacketLoss(BALANCER_1, 0.6, seed)
     simulation.run(8.0)
     simulation.is_lost = lambda source, host: False
     simulation.run(2.0)
@@ -98,9 +99,9 @@
     simulation.upstreams[dead].alive = False
     simulation.partitioned_hosts.add(dead)
     simulation.run(LOST_AFTER_SECONDS / 2)
-    simulation.partitioned_hosts.add(B1)
+    simulation.partitioned_hosts.add(BALANCER_1)
     simulation.run(3.0)
-    simulation.partitioned_hosts.discard(B1)
+    simulation.partitioned_hosts.discard(BALANCER_1)
     simulation.run(LOST_AFTER_SECONDS + 0.7)
     assert callers[0].outcome == "reset"
 
@@ -111,14 +112,14 @@
     simulation = Simulation(services=("dispatcher",))
     for host in AGENTS[:5]:
         simulation.add_agent(host, "dispatcher", knows_all_flows=True)
-    for host in (B1, B2):
+    for host in (BALANCER_1, BALANCER_2):
         simulation.add_balancer(host)
     simulation.run(3.0)
     for _ in range(10):
-        simulation.add_caller("dispatcher", B1, requests=MANY_REQUESTS)
+        simulation.add_caller("dispatcher", BALANCER_1, requests=MANY_REQUESTS)
         simulation.run(0.05)
-    restart_balancer(simulation, B1)
-    simulation.is_lost = losses = PacketLoss(B1, 1.0, seed)
+    restart_balancer(simulation, BALANCER_1)
+    simulation.is_lost = losses = PacketLoss(BALANCER_1, 1.0, seed)
     for losses.loss_share in (1.0, 0.6, 0.3):
         simulation.run(1.5)
     simulation.is_lost = lambda source, host: False
--- a/shedsill/tests/test_datagram_lost_messages.py
+++ b/shedsill/tests/test_datagram_lost_messages.py
@@ -15,8 +15,8 @@
 from shedsill.testing.datagram_simulation import Simulation
 from shedsill.testing.flow_endpoints import Caller
 
-B1, B2, B3 = "10.0.0.1", "10.0.0.2", "10.0.0.3"
-A1, A2, A3 = "10.1.0.1", "10.1.0.2", "10.1.0.3"
+BALANCER_1, BALANCER_2, BALANCER_3 = "10.0.0.1", "10.0.0.2", "10.0.0.3"
+AGENT_1, AGENT_2, AGENT_3 = "10.1.0.1", "10.1.0.2", "10.1.0.3"
 MANY_REQUESTS = 40
 
 
@@ -24,17 +24,17 @@
 def simulation() -> Simulation:
     """Two balancers and three upstreams of a service that all know each other."""
     simulation = Simulation(services=("dispatcher", "intake"))
-    for host in (A1, A2, A3):
+    for host in (AGENT_1, AGENT_2, AGENT_3):
         simulation.add_agent(host, "dispatcher", knows_all_flows=True)
     simulation.add_agent("10.2.0.1", "intake", knows_all_flows=True)
-    for host in (B1, B2):
+    for host in (BALANCER_1, BALANCER_2):
         simulation.add_balancer(host)
     simulation.run(3.0)
     return simulation
 
 
 def open_flow(
-    simulation: Simulation, balancer: str = B1, service: str = "dispatcher"
+    simulation: Simulation, balancer: str = BALANCER_1, service: str = "dispatcher"
 ) -> Caller:
     caller = simulation.add_caller(service, balancer, requests=MANY_REQUESTS)
     simulation.run(0.05)
@@ -57,16 +57,16 @@
         The caller, its agent, and another agent that is cut off from the balancer, so
         that its search for the flow continues.
     """
-    caller = open_flow(simulation, B2)
+    caller = open_flow(simulation, BALANCER_2)
     holder = simulation.find_upstream_host(caller)
-    other = next(host for host in (A1, A2, A3) if host != holder)
-    simulation.kill(B1)
-    drop_messages_between(simulation, (holder, B1))
-    simulation.add_balancer(B1)
+    other = next(host for host in (AGENT_1, AGENT_2, AGENT_3) if host != holder)
+    simulation.kill(BALANCER_1)
+    drop_messages_between(simulation, (holder, BALANCER_1))
+    simulation.add_balancer(BALANCER_1)
     simulation.run(2.0)
-    assert simulation.nodes[B1].nodes.upstreams[holder].lost
-    drop_messages_between(simulation, (holder, B1), (other, B1))
-    simulation.balancer_by_flow[caller.flow] = B1
+    assert simulation.nodes[BALANCER_1].nodes.upstreams[holder].lost
+    drop_messages_between(simulation, (holder, BALANCER_1), (other, BALANCER_1))
+    simulation.balancer_by_flow[caller.flow] = BALANCER_1
     return caller, holder, other
 
 
@@ -76,7 +76,7 @@
     """A search that started without the agent must not end in a reset."""
     _caller, _holder, other = search_without_holder(simulation)
     simulation.run(0.4)
-    drop_messages_between(simulation, (other, B1))
+    drop_messages_between(simulation, (other, BALANCER_1))
     simulation.run(LOST_AFTER_SECONDS - 0.45)
     drop_messages_between(simulation)
     simulation.run(1.0)
@@ -89,10 +89,10 @@
     """It may have been deleted by another balancer that did not hear from the agent."""
     caller = open_flow(simulation)
     holder = simulation.find_upstream_host(caller)
-    drop_messages_between(simulation, (holder, B1))
+    drop_messages_between(simulation, (holder, BALANCER_1))
     simulation.run(LOST_AFTER_SECONDS - 0.1)
     removed = ReportsListed(reports=(), removed=(holder,), now=simulation.now)
-    simulation._dispatch(B1, removed)
+    simulation._dispatch(BALANCER_1, removed)
     simulation.run(0.05)
     drop_messages_between(simulation)
     simulation.run(2.0)
@@ -106,9 +106,11 @@
     caller = open_flow(simulation)
     holder = simulation.find_upstream_host(caller)
     del simulation.stored_reports[holder]
-    drop_messages_between(simulation, (B3, B1), (B3, B2))
-    simulation.add_balancer(B3)
-    simulation.balancer_by_flow[caller.flow] = B3
+    drop_messages_between(
+        simulation, (BALANCER_3, BALANCER_1), (BALANCER_3, BALANCER_2)
+    )
+    simulation.add_balancer(BALANCER_3)
+    simulation.balancer_by_flow[caller.flow] = BALANCER_3
     simulation.run(0.7)
     drop_messages_between(simulation)
     simulation.run(2.0)
@@ -119,12 +121,14 @@
     simulation: Simulation,
 ) -> None:
     """Routers move a flow of a new route to a balancer without the new table."""
-    simulation.publish_table(simulation.make_table(2, excluded="intake"), (B1, B2))
+    simulation.publish_table(
+        simulation.make_table(2, excluded="intake"), (BALANCER_1, BALANCER_2)
+    )
     simulation.run(0.1)
-    simulation.publish_table(simulation.make_table(3), (B1,))
+    simulation.publish_table(simulation.make_table(3), (BALANCER_1,))
     simulation.run(0.1)
-    caller = open_flow(simulation, B1, "intake")
-    simulation.balancer_by_flow[caller.flow] = B2
+    caller = open_flow(simulation, BALANCER_1, "intake")
+    simulation.balancer_by_flow[caller.flow] = BALANCER_2
     caller.send_request()
     simulation.run(2.0)
     assert not simulation.reset_callers
@@ -135,12 +139,12 @@
     """It may be of an earlier incarnation, after an outage of the store."""
     caller = open_flow(simulation)
     holder = simulation.find_upstream_host(caller)
-    report = simulation.nodes[B1].nodes.upstreams[holder].report
-    drop_messages_between(simulation, (holder, B1))
+    report = simulation.nodes[BALANCER_1].nodes.upstreams[holder].report
+    drop_messages_between(simulation, (holder, BALANCER_1))
     simulation.run(0.7)
     incarnation = report.incarnation + 10_000
     old = replace(report, incarnation=incarnation, serial=9, boot="i-earlier")
-    simulation._dispatch(B1, ReportsListed(reports=(old,), now=simulation.now))
+    simulation._dispatch(BALANCER_1, ReportsListed(reports=(old,), now=simulation.now))
     simulation.run(0.1)
     drop_messages_between(simulation)
     simulation.run(2.0)
@@ -148,8 +152,8 @@
 
 
 def test_log_has_no_age_for_agent_never_heard(simulation: Simulation) -> None:
-    drop_messages_between(simulation, (A1, B3))
-    simulation.add_balancer(B3)
+    drop_messages_between(simulation, (AGENT_1, BALANCER_3))
+    simulation.add_balancer(BALANCER_3)
     simulation.run(2.0)
     notes = [
         n for host, n in simulation.log_entries if n.event == LogEvent.UPSTREAM_LOST
@@ -167,7 +171,7 @@
     simulation.kill(holder)
     simulation.add_agent(holder, "dispatcher")
     simulation.run(0.01)
-    drop_messages_between(simulation, (holder, B1))
+    drop_messages_between(simulation, (holder, BALANCER_1))
     simulation.run(0.3)
     drop_messages_between(simulation)
     simulation.run(1.0)
@@ -178,12 +182,12 @@
     simulation: Simulation,
 ) -> None:
     """The agent needs 0.6 s to restart and must not be given up meanwhile."""
-    caller = open_flow(simulation, B2)
+    caller = open_flow(simulation, BALANCER_2)
     holder = simulation.find_upstream_host(caller)
     simulation.kill(holder)
-    simulation.kill(B1)
-    simulation.add_balancer(B1)
-    simulation.balancer_by_flow[caller.flow] = B1
+    simulation.kill(BALANCER_1)
+    simulation.add_balancer(BALANCER_1)
+    simulation.balancer_by_flow[caller.flow] = BALANCER_1
     simulation.run(0.6)
     simulation.add_agent(holder, "dispatcher")
     simulation.run(1.0)
@@ -196,21 +200,21 @@
     """During an outage of the store only the agent itself can announce it."""
     simulation.store_available = False
     host = "10.1.0.4"
-    drop_messages_between(simulation, (host, B1), (host, B2))
+    drop_messages_between(simulation, (host, BALANCER_1), (host, BALANCER_2))
     state = simulation.add_agent(host, "dispatcher", knows_all_flows=True)
-    state.seeds = (B1, B2)
+    state.seeds = (BALANCER_1, BALANCER_2)
     simulation.run(0.3)
     drop_messages_between(simulation)
     simulation.run(1.0)
-    assert host in simulation.nodes[B1].nodes.upstreams
-    assert host in simulation.nodes[B2].nodes.upstreams
+    assert host in simulation.nodes[BALANCER_1].nodes.upstreams
+    assert host in simulation.nodes[BALANCER_2].nodes.upstreams
 
 
 def test_known_agent_does_not_repeat_announcement(
     simulation: Simulation,
 ) -> None:
     state = simulation.add_agent("10.1.0.4", "dispatcher", knows_all_flows=True)
-    state.seeds = (B1, B2)
+    state.seeds = (BALANCER_1, BALANCER_2)
     simulation.run(1.0)
     sent = simulation.count_messages(Announcement)
     simulation.run(1.0)
@@ -222,11 +226,13 @@
     simulation: Simulation,
 ) -> None:
     simulation.store_available = False
-    drop_messages_between(simulation, (B3, B1), (B3, B2))
-    state = simulation.add_balancer(B3)
-    state.seeds = (B1, B2)
+    drop_messages_between(
+        simulation, (BALANCER_3, BALANCER_1), (BALANCER_3, BALANCER_2)
+    )
+    state = simulation.add_balancer(BALANCER_3)
+    state.seeds = (BALANCER_1, BALANCER_2)
     simulation.run(2.0)
     drop_messages_between(simulation)
     simulation.run(1.5)
     assert state.peers_synced
-    assert set(state.nodes.upstreams) == {A1, A2, A3, "10.2.0.1"}
+    assert set(state.nodes.upstreams) == {AGENT_1, AGENT_2, AGENT_3, "10.2.0.1"}
--- a/shedsill/tests/test_datagram_overload.py
+++ b/shedsill/tests/test_datagram_overload.py
@@ -16,16 +16,16 @@
 from shedsill.testing.datagram_simulation import Simulation
 
 SLOTS = 2
-SERVICE_TIME = 0.1
-TIMEOUT = 2.0
-FEASIBLE_REQUESTS = int(TIMEOUT * SLOTS / SERVICE_TIME) - SLOTS - 1
+SERVICE_SECONDS = 0.1
+TIMEOUT_SECONDS = 2.0
+FEASIBLE_REQUESTS = int(TIMEOUT_SECONDS * SLOTS / SERVICE_SECONDS) - SLOTS - 1
 """Queued requests with which a new one can still meet its deadline."""
 
 
 def queue_requests(state: AgentState, requests: int, now: float) -> None:
     """Queue requests at an agent whose upstream takes `SERVICE_TIME` for each."""
     state.report = replace(state.report, load=Load(slots=SLOTS))
-    record_answer(state.health, SERVICE_TIME, now)
+    record_answer(state.health, SERVICE_SECONDS, now)
     for number in range(requests):
         request = QueuedRequest(
             packets=[],
@@ -38,7 +38,7 @@
         add_request(state.backlog, b"held%d" % number, request)
 
 
-def build_syn(*, copy: int = 0, timeout: float = TIMEOUT) -> Packet:
+def build_syn(*, copy: int = 0, timeout: float = TIMEOUT_SECONDS) -> Packet:
     return Packet(
         b"f", b"e", SYN, copy, seq=1, ack=copy, length=0, data=b"", timeout=timeout
     )
@@ -92,7 +92,7 @@
     simulation.add_balancer("10.0.0.1")
     simulation.run(0.2)
     routes = {
-        endpoint: replace(route, timeout=TIMEOUT)
+        endpoint: replace(route, timeout=TIMEOUT_SECONDS)
         for endpoint, route in simulation.table.routes.items()
     }
     table = replace(simulation.table, version=2, routes=routes)
--- a/shedsill/tests/test_datagram_report_polling.py
+++ b/shedsill/tests/test_datagram_report_polling.py
@@ -17,8 +17,8 @@
 from shedsill.datagram._search_state import LOCATE_TIMEOUT_SECONDS
 from shedsill.testing.datagram_simulation import Simulation
 
-B1, B2 = "10.0.0.1", "10.0.0.2"
-A1, A2 = "10.1.0.1", "10.1.0.2"
+BALANCER_1, BALANCER_2 = "10.0.0.1", "10.0.0.2"
+AGENT_1, AGENT_2 = "10.1.0.1", "10.1.0.2"
 MANY_REQUESTS = 1000
 
 
@@ -26,11 +26,11 @@
 def simulation() -> Simulation:
     """Two balancers, the second without an active watch, and one upstream."""
     simulation = Simulation(services=("dispatcher",))
-    simulation.add_agent(A1, "dispatcher", knows_all_flows=True)
-    for host in (B1, B2):
+    simulation.add_agent(AGENT_1, "dispatcher", knows_all_flows=True)
+    for host in (BALANCER_1, BALANCER_2):
         simulation.add_balancer(host)
     simulation.run(1.0)
-    simulation.unwatched_hosts.add(B2)
+    simulation.unwatched_hosts.add(BALANCER_2)
     return simulation
 
 
@@ -39,21 +39,23 @@
 
     def is_lost(source: str, host: str) -> bool:
         is_known = agent in simulation.nodes[balancer].nodes.upstreams
-        return host == balancer and source in (agent, B1) and not is_known
+        return host == balancer and source in (agent, BALANCER_1) and not is_known
 
     simulation.is_lost = is_lost
 
 
 def test_flow_of_agent_known_only_to_store_is_found(simulation: Simulation) -> None:
-    drop_announcements(simulation, A2, B2)
-    simulation.add_agent(A2, "dispatcher", knows_all_flows=True)
+    drop_announcements(simulation, AGENT_2, BALANCER_2)
+    simulation.add_agent(AGENT_2, "dispatcher", knows_all_flows=True)
     simulation.run(3.0)
-    assert A2 not in simulation.nodes[B2].nodes.upstreams
-    simulation.nodes[B1].nodes.upstreams[A1].refused_until = simulation.now + 1.0
-    caller = simulation.add_caller("dispatcher", B1, requests=MANY_REQUESTS)
+    assert AGENT_2 not in simulation.nodes[BALANCER_2].nodes.upstreams
+    simulation.nodes[BALANCER_1].nodes.upstreams[AGENT_1].refused_until = (
+        simulation.now + 1.0
+    )
+    caller = simulation.add_caller("dispatcher", BALANCER_1, requests=MANY_REQUESTS)
     simulation.run(0.1)
-    assert simulation.find_upstream_host(caller) == A2
-    simulation.balancer_by_flow[caller.flow] = B2
+    assert simulation.find_upstream_host(caller) == AGENT_2
+    simulation.balancer_by_flow[caller.flow] = BALANCER_2
     simulation.run(2.0)
     assert caller.answers > 2
     assert not caller.outcome
@@ -64,12 +66,12 @@
     simulation: Simulation, store_up: bool
 ) -> None:
     """The reset waits for a read, or for `READ_TIMEOUT_SECONDS` in an outage."""
-    caller = simulation.add_caller("dispatcher", B1, requests=MANY_REQUESTS)
+    caller = simulation.add_caller("dispatcher", BALANCER_1, requests=MANY_REQUESTS)
     simulation.run(3.0)
     simulation.store_available = store_up
-    simulation.balancer_by_flow[caller.flow] = B2
-    simulation.upstreams[A1].flows.clear()
-    simulation.nodes[A1].flows.clear()
+    simulation.balancer_by_flow[caller.flow] = BALANCER_2
+    simulation.upstreams[AGENT_1].flows.clear()
+    simulation.nodes[AGENT_1].flows.clear()
     simulation.run(0.3)
     assert (caller.outcome == "reset") == store_up
     simulation.run(_report_polling.READ_TIMEOUT_SECONDS + LOCATE_TIMEOUT_SECONDS)
@@ -80,19 +82,19 @@
     simulation: Simulation,
 ) -> None:
     """All upstreams of the service were replaced without a message to this balancer."""
-    drop_announcements(simulation, A2, B2)
-    simulation.add_agent(A2, "dispatcher", knows_all_flows=True)
-    simulation.withdraw_upstream(A1)
+    drop_announcements(simulation, AGENT_2, BALANCER_2)
+    simulation.add_agent(AGENT_2, "dispatcher", knows_all_flows=True)
+    simulation.withdraw_upstream(AGENT_1)
     simulation.run(3.0)
-    caller = simulation.add_caller("dispatcher", B2)
+    caller = simulation.add_caller("dispatcher", BALANCER_2)
     simulation.run(1.0)
     assert caller.outcome == "answered"
 
 
 def test_collector_relays_agents_read_from_store(simulation: Simulation) -> None:
-    state = simulation.nodes[B2]
+    state = simulation.nodes[BALANCER_2]
     report = NodeReport(
-        host=A2,
+        host=AGENT_2,
         role=Role.AGENT,
         zone="z1",
         incarnation=77,
@@ -100,22 +102,24 @@
         boot="i-9",
         state=UpstreamState.READY,
     )
-    simulation._dispatch(B1, ReportsListed(reports=(report,), now=simulation.now))
+    simulation._dispatch(
+        BALANCER_1, ReportsListed(reports=(report,), now=simulation.now)
+    )
     simulation.run(0.01)
-    assert A2 in state.nodes.upstreams
+    assert AGENT_2 in state.nodes.upstreams
 
 
 def test_report_removed_by_previous_incarnation_is_stored_again(
     simulation: Simulation,
 ) -> None:
     """A removal by the previous incarnation is applied after the restart."""
-    simulation.kill(B2)
-    simulation.add_balancer(B2)
+    simulation.kill(BALANCER_2)
+    simulation.add_balancer(BALANCER_2)
     simulation.run(0.1)
-    del simulation.stored_reports[B2]
-    removed = ReportsListed(reports=(), removed=(B2,), now=simulation.now)
-    simulation._dispatch(B2, removed)
-    assert simulation.stored_reports[B2].host == B2
+    del simulation.stored_reports[BALANCER_2]
+    removed = ReportsListed(reports=(), removed=(BALANCER_2,), now=simulation.now)
+    simulation._dispatch(BALANCER_2, removed)
+    assert simulation.stored_reports[BALANCER_2].host == BALANCER_2
 
 
 def count_reads(*, seconds: int, is_collector: bool) -> int:
--- a/shedsill/tests/test_datagram_restarts.py
+++ b/shedsill/tests/test_datagram_restarts.py
@@ -12,8 +12,8 @@
 from shedsill.testing.datagram_simulation import Simulation
 from shedsill.testing.flow_endpoints import Caller
 
-B1, B2 = "10.0.0.1", "10.0.0.2"
-A1 = "10.1.0.1"
+BALANCER_1, BALANCER_2 = "10.0.0.1", "10.0.0.2"
+AGENT_1 = "10.1.0.1"
 MANY_REQUESTS = 12
 """Requests on a flow that lasts longer than a test."""
 
@@ -22,8 +22,8 @@
 def simulation() -> Simulation:
     """Two balancers and one upstream."""
     simulation = Simulation(services=("dispatcher",))
-    simulation.add_agent(A1, "dispatcher", knows_all_flows=True)
-    for host in (B1, B2):
+    simulation.add_agent(AGENT_1, "dispatcher", knows_all_flows=True)
+    for host in (BALANCER_1, BALANCER_2):
         simulation.add_balancer(host)
     simulation.run(3.0)
     return simulation
@@ -31,13 +31,13 @@
 
 def restart_upstream(simulation: Simulation) -> None:
     """Start a new boot before any node has noticed the end of the previous one."""
-    simulation.crash_upstream(A1)
+    simulation.crash_upstream(AGENT_1)
     simulation.run(0.3)
-    simulation.start_upstream(A1, "dispatcher")
+    simulation.start_upstream(AGENT_1, "dispatcher")
 
 
 def open_flow(simulation: Simulation) -> Caller:
-    caller = simulation.add_caller("dispatcher", B1, requests=MANY_REQUESTS)
+    caller = simulation.add_caller("dispatcher", BALANCER_1, requests=MANY_REQUESTS)
     simulation.run(0.01)
     assert caller.is_open
     return caller
@@ -51,7 +51,7 @@
     restart_upstream(simulation)
     caller = open_flow(simulation)
     simulation.run(delay)
-    simulation.send_heartbeat(A1)
+    simulation.send_heartbeat(AGENT_1)
     simulation.run(6.0)
     assert caller.outcome == "answered"
 
@@ -59,9 +59,9 @@
 def test_flow_is_kept_when_first_heartbeat_is_lost(simulation: Simulation) -> None:
     restart_upstream(simulation)
     caller = open_flow(simulation)
-    simulation.upstreams[A1].heartbeat_serial += 1
+    simulation.upstreams[AGENT_1].heartbeat_serial += 1
     simulation.run(3.0)
-    simulation.send_heartbeat(A1)
+    simulation.send_heartbeat(AGENT_1)
     simulation.run(6.0)
     assert caller.outcome == "answered"
 
@@ -69,13 +69,13 @@
 def test_flow_is_kept_through_later_restart_of_agent(simulation: Simulation) -> None:
     restart_upstream(simulation)
     caller = open_flow(simulation)
-    simulation.send_heartbeat(A1)
+    simulation.send_heartbeat(AGENT_1)
     simulation.run(1.0)
-    simulation.stop(A1)
+    simulation.stop(AGENT_1)
     simulation.run(0.1)
-    simulation.kill(A1)
+    simulation.kill(AGENT_1)
     simulation.run(0.3)
-    simulation.add_agent(A1, "dispatcher")
+    simulation.add_agent(AGENT_1, "dispatcher")
     simulation.run(6.0)
     assert caller.outcome == "answered"
 
@@ -84,7 +84,7 @@
     caller = open_flow(simulation)
     simulation.run(2.0)
     restart_upstream(simulation)
-    simulation.send_heartbeat(A1)
+    simulation.send_heartbeat(AGENT_1)
     simulation.run(0.1)
     assert caller.outcome == "reset"
 
@@ -95,7 +95,7 @@
     """The flow was accepted after the last heartbeat of the ended boot."""
     caller = open_flow(simulation)
     restart_upstream(simulation)
-    simulation.send_heartbeat(A1)
+    simulation.send_heartbeat(AGENT_1)
     simulation.run(0.1)
     assert caller.outcome == "reset"
 
@@ -103,13 +103,13 @@
 def test_answer_listing_a_flow_twice_resets_it(simulation: Simulation) -> None:
     """A flow that was requested twice may be listed twice in the answer."""
     caller = open_flow(simulation)
-    state = simulation.nodes[B1]
+    state = simulation.nodes[BALANCER_1]
     state.flows[caller.flow].unverified = True
-    simulation.upstreams[A1].crash()
+    simulation.upstreams[AGENT_1].crash()
     flows = [caller.flow, caller.flow]
     answer = Located(boot="i-9", held=[], unknown=flows, unsure=[], load=Load())
     simulation._dispatch(
-        B1, MessageReceived(message=answer, source=A1, now=simulation.now)
+        BALANCER_1, MessageReceived(message=answer, source=AGENT_1, now=simulation.now)
     )
     simulation.run(0.01)
     assert caller.outcome == "reset"
@@ -121,14 +121,14 @@
     """The first request was lost, and the caller sends no further packet."""
     caller = open_flow(simulation)
     simulation.balancer_by_flow[caller.flow] = "nowhere"
-    simulation.nodes[B1].flows[caller.flow].unverified = True
-    simulation.nodes[A1].flows.clear()
-    simulation.upstreams[A1].flows.clear()
+    simulation.nodes[BALANCER_1].flows[caller.flow].unverified = True
+    simulation.nodes[AGENT_1].flows.clear()
+    simulation.upstreams[AGENT_1].flows.clear()
     simulation.run(0.3)
     assert caller.outcome == "reset"
 
 
-A2 = "10.1.0.2"
+AGENT_2 = "10.1.0.2"
 
 
 def test_flow_at_another_upstream_is_not_reset_by_restarted_one(
@@ -138,18 +138,20 @@
 
     The agent whose upstream ended without an answer must not reset the flow.
     """
-    simulation.add_agent(A2, "dispatcher", knows_all_flows=True)
+    simulation.add_agent(AGENT_2, "dispatcher", knows_all_flows=True)
     simulation.run(3.0)
-    simulation.crash_upstream(A1)
-    simulation.nodes[B1].nodes.upstreams[A2].refused_until = simulation.now + 0.05
-    caller = simulation.add_caller("dispatcher", B1, requests=MANY_REQUESTS)
+    simulation.crash_upstream(AGENT_1)
+    simulation.nodes[BALANCER_1].nodes.upstreams[AGENT_2].refused_until = (
+        simulation.now + 0.05
+    )
+    caller = simulation.add_caller("dispatcher", BALANCER_1, requests=MANY_REQUESTS)
     simulation.run(0.05)
-    assert A1 in simulation.nodes[B1].flows[caller.flow].offered
-    simulation.is_lost = lambda source, host: (source, host) == (A2, B1)
+    assert AGENT_1 in simulation.nodes[BALANCER_1].flows[caller.flow].offered
+    simulation.is_lost = lambda source, host: (source, host) == (AGENT_2, BALANCER_1)
     simulation.run(0.15)
-    assert simulation.find_upstream_host(caller) == A2
+    assert simulation.find_upstream_host(caller) == AGENT_2
     simulation.is_lost = lambda source, host: False
-    simulation.start_upstream(A1, "dispatcher")
-    simulation.send_heartbeat(A1)
+    simulation.start_upstream(AGENT_1, "dispatcher")
+    simulation.send_heartbeat(AGENT_1)
     simulation.run(6.0)
     assert caller.outcome == "answered"
--- a/shedsill/tests/test_datagram_searches.py
+++ b/shedsill/tests/test_datagram_searches.py
@@ -13,7 +13,7 @@
 from shedsill.testing.datagram_simulation import Simulation
 from shedsill.testing.flow_endpoints import Caller
 
-B1, B2 = "10.0.0.1", "10.0.0.2"
+BALANCER_1, BALANCER_2 = "10.0.0.1", "10.0.0.2"
 LOCAL_AGENTS = ("10.1.0.1", "10.1.0.2")
 REMOTE_AGENTS = ("10.2.0.1", "10.2.0.2", "10.2.0.3")
 MANY_REQUESTS = 1000
@@ -32,7 +32,7 @@
         simulation.add_agent(host, "dispatcher", knows_all_flows=True)
     for host in REMOTE_AGENTS:
         simulation.add_agent(host, "dispatcher", zone="z2", knows_all_flows=True)
-    for host in (B1, B2):
+    for host in (BALANCER_1, BALANCER_2):
         simulation.add_balancer(host)
     return simulation
 
@@ -46,13 +46,13 @@
 
 def move_ended_flow(simulation: Simulation) -> Caller:
     """Open a flow through one balancer, remove it and route it to the other one."""
-    caller = simulation.add_caller("dispatcher", B1, requests=MANY_REQUESTS)
+    caller = simulation.add_caller("dispatcher", BALANCER_1, requests=MANY_REQUESTS)
     simulation.run(0.05)
     holder = simulation.find_upstream_host(caller)
     assert holder in LOCAL_AGENTS
     simulation.upstreams[holder].flows.clear()
     simulation.nodes[holder].flows.clear()
-    simulation.balancer_by_flow[caller.flow] = B2
+    simulation.balancer_by_flow[caller.flow] = BALANCER_2
     return caller
 
 
@@ -78,7 +78,7 @@
     simulation.partitioned_hosts.add(REMOTE_AGENTS[0])
     simulation.run(1.0)
     removed = ReportsListed(reports=(), removed=(REMOTE_AGENTS[0],), now=simulation.now)
-    simulation._dispatch(B2, removed)
+    simulation._dispatch(BALANCER_2, removed)
     simulation.run(GIVEN_UP_AFTER_SECONDS)
     caller = move_ended_flow(simulation)
     simulation.run(0.5)
@@ -89,9 +89,9 @@
     simulation: Simulation,
 ) -> None:
     removed = ReportsListed(reports=(), removed=(REMOTE_AGENTS[0],), now=simulation.now)
-    simulation._dispatch(B2, removed)
+    simulation._dispatch(BALANCER_2, removed)
     simulation.run(GIVEN_UP_AFTER_SECONDS)
-    view = simulation.nodes[B2].nodes.upstreams[REMOTE_AGENTS[0]]
+    view = simulation.nodes[BALANCER_2].nodes.upstreams[REMOTE_AGENTS[0]]
     assert not view.lost
     assert not view.suspect
 
@@ -99,14 +99,14 @@
 @pytest.fixture
 def seeded_simulation() -> Simulation:
     """Return the same nodes, with the first balancer as the only seed."""
-    simulation = make_simulation(B1)
+    simulation = make_simulation(BALANCER_1)
     simulation.run(12.0)
     return simulation
 
 
 def announce_end_and_cut_off(simulation: Simulation, host: str) -> None:
     """Have an upstream announce its end and cut its VM off 2 s later."""
-    simulation.unwatched_hosts.add(B2)
+    simulation.unwatched_hosts.add(BALANCER_2)
     simulation.withdraw_upstream(host)
     simulation.run(2.0)
     simulation.partitioned_hosts.add(host)
@@ -115,10 +115,10 @@
 def test_end_of_upstream_is_relayed_to_all_balancers(
     seeded_simulation: Simulation,
 ) -> None:
-    seeded_simulation.unwatched_hosts.add(B2)
+    seeded_simulation.unwatched_hosts.add(BALANCER_2)
     seeded_simulation.withdraw_upstream(REMOTE_AGENTS[0])
     seeded_simulation.run(0.01)
-    view = seeded_simulation.nodes[B2].nodes.upstreams[REMOTE_AGENTS[0]]
+    view = seeded_simulation.nodes[BALANCER_2].nodes.upstreams[REMOTE_AGENTS[0]]
     assert view.report.state == UpstreamState.GONE
 
 
@@ -126,7 +126,9 @@
     seeded_simulation: Simulation,
 ) -> None:
     """All agents were restarted, so that only the upstreams know their flows."""
-    caller = seeded_simulation.add_caller("dispatcher", B1, requests=MANY_REQUESTS)
+    caller = seeded_simulation.add_caller(
+        "dispatcher", BALANCER_1, requests=MANY_REQUESTS
+    )
     seeded_simulation.run(1.0)
     seeded_simulation.balancer_by_flow[caller.flow] = "nowhere"
     for host in (*LOCAL_AGENTS, *REMOTE_AGENTS):
@@ -139,7 +141,7 @@
     announce_end_and_cut_off(seeded_simulation, REMOTE_AGENTS[0])
     seeded_simulation.run(0.8)
     answers = caller.answers
-    seeded_simulation.balancer_by_flow[caller.flow] = B2
+    seeded_simulation.balancer_by_flow[caller.flow] = BALANCER_2
     seeded_simulation.run(0.7)
     assert caller.answers > answers
     assert not caller.outcome
@@ -168,4 +170,4 @@
         _failure_detection.IDLE_BEFORE_PROBE_SECONDS
         + _failure_detection.LOST_AFTER_SECONDS / 2
     )
-    assert seeded_simulation.nodes[B2].nodes.upstreams[REMOTE_AGENTS[0]].lost
+    assert seeded_simulation.nodes[BALANCER_2].nodes.upstreams[REMOTE_AGENTS[0]].lost
--- a/shedsill/tests/test_datagram_tables.py
+++ b/shedsill/tests/test_datagram_tables.py
@@ -26,7 +26,7 @@
 from shedsill.testing.ports import get_free_ports
 
 ROUTES = 1_646
-PULLS = 22
+PULL_COUNT = 22
 LINK_BYTES_PER_SECOND = 5_000_000 / 8
 """Bandwidth in bytes per second."""
 SATURATION_SECONDS = 0.5
@@ -57,10 +57,10 @@
     """Guards against pulls that delay the messages between nodes."""
     served = ServedTable()
     served.replace(make_table(ROUTES))
-    answers = [served.get_for_sending(0.05 * number) for number in range(PULLS)]
+    answers = [served.get_for_sending(0.05 * number) for number in range(PULL_COUNT)]
     sent = sum(len(octets) for octets in answers if octets)
     assert sent / LINK_BYTES_PER_SECOND < SATURATION_SECONDS
-    assert sent / (0.05 * PULLS) < 2 * TABLE_BYTES_PER_SECOND
+    assert sent / (0.05 * PULL_COUNT) < 2 * TABLE_BYTES_PER_SECOND
 
 
 def test_table_is_compressed_to_a_fifth() -> None:
--- a/shedsill/tests/test_platform_processes.py
+++ b/shedsill/tests/test_platform_processes.py
@@ -15,8 +15,8 @@
     "127.0.2.2": "dispatcher",
     "127.0.2.3": "intake",
 }
-B1, B2 = BALANCERS
-A1, A2 = list(AGENTS)[:2]
+BALANCER_1, BALANCER_2 = BALANCERS
+AGENT_1, AGENT_2 = list(AGENTS)[:2]
 
 
 def run_scenario(
@@ -49,7 +49,7 @@
         await deployment.wait_for_outcomes(callers)
         assert {caller.outcome for caller in callers} == {"answered"}
         await asyncio.sleep(0.2)
-        lines = deployment.read_log(B1) + deployment.read_log(B2)
+        lines = deployment.read_log(BALANCER_1) + deployment.read_log(BALANCER_2)
         offered = {line["flow"] for line in lines if line["name"] == "flow_offered"}
         assert len(offered) == len(callers)
 
@@ -60,7 +60,7 @@
     tmp_path: pathlib.Path,
 ) -> None:
     async def scenario(deployment: Deployment) -> None:
-        callers = [deployment.add_caller("dispatcher", B1) for _ in range(4)]
+        callers = [deployment.add_caller("dispatcher", BALANCER_1) for _ in range(4)]
         while not all(caller.is_open for caller in callers):
             await asyncio.sleep(0.001)
         for host in (*AGENTS, *BALANCERS):
@@ -75,20 +75,20 @@
 
 def test_planned_stop_exits_with_0_and_loses_no_flow(tmp_path: pathlib.Path) -> None:
     async def scenario(deployment: Deployment) -> None:
-        callers = [deployment.add_caller("dispatcher", B1) for _ in range(4)]
+        callers = [deployment.add_caller("dispatcher", BALANCER_1) for _ in range(4)]
         while not all(caller.is_open for caller in callers):
             await asyncio.sleep(0.001)
 
         async def restart_agent() -> int:
             """Restart the agent after it has stopped, as the platform does."""
-            code = await deployment.stop(A1)
-            await deployment.restart(A1)
+            code = await deployment.stop(AGENT_1)
+            await deployment.restart(AGENT_1)
             return code
 
-        codes = await asyncio.gather(deployment.stop(B1), restart_agent())
+        codes = await asyncio.gather(deployment.stop(BALANCER_1), restart_agent())
         assert codes == [0, 0]
         for caller in callers:
-            deployment.balancer_by_flow[caller.flow] = B2
+            deployment.balancer_by_flow[caller.flow] = BALANCER_2
         await deployment.wait_for_outcomes(callers)
         assert {caller.outcome for caller in callers} == {"answered"}
 
@@ -100,14 +100,16 @@
 ) -> None:
     async def scenario(deployment: Deployment) -> None:
         deployment.store.faults.failure_mode = "busy"
-        callers = [deployment.add_caller("dispatcher", B1) for _ in range(4)]
+        callers = [deployment.add_caller("dispatcher", BALANCER_1) for _ in range(4)]
         await deployment.wait_for_outcomes(callers)
-        await deployment.drain_upstream(A1, "dispatcher")
-        late = [deployment.add_caller("dispatcher", B2) for _ in range(6)]
+        await deployment.drain_upstream(AGENT_1, "dispatcher")
+        late = [deployment.add_caller("dispatcher", BALANCER_2) for _ in range(6)]
         await deployment.wait_for_outcomes(late)
         outcomes = {caller.outcome for caller in (*callers, *late)}
         assert outcomes == {"answered"}
-        assert not any(c.flow in deployment.upstreams[A1].processed_flows for c in late)
+        assert not any(
+            c.flow in deployment.upstreams[AGENT_1].processed_flows for c in late
+        )
 
     run_scenario(tmp_path, scenario)
 
@@ -116,21 +118,21 @@
     """With and without SIGHUP; no node stops on invalid settings."""
 
     async def scenario(deployment: Deployment) -> None:
-        deployment.change_settings(B1, seeds=["127.0.1.2:99"])
-        deployment.nodes[B1].send_signal(signal.SIGHUP)
-        deployment.change_settings(B2, seeds=["127.0.1.1:99"])
-        deployment.change_settings(A1, app="nowhere")
+        deployment.change_settings(BALANCER_1, seeds=["127.0.1.2:99"])
+        deployment.nodes[BALANCER_1].send_signal(signal.SIGHUP)
+        deployment.change_settings(BALANCER_2, seeds=["127.0.1.1:99"])
+        deployment.change_settings(AGENT_1, app="nowhere")
         expected_events = {
-            B1: "settings_read",
-            B2: "settings_read",
-            A1: "settings_rejected",
+            BALANCER_1: "settings_read",
+            BALANCER_2: "settings_read",
+            AGENT_1: "settings_rejected",
         }
         async with asyncio.timeout(10.0):
             for host, name in expected_events.items():
                 while name not in {line["name"] for line in deployment.read_log(host)}:
                     await asyncio.sleep(0.05)
         assert all(node.is_running for node in deployment.nodes.values())
-        callers = [deployment.add_caller("dispatcher", B1) for _ in range(4)]
+        callers = [deployment.add_caller("dispatcher", BALANCER_1) for _ in range(4)]
         await deployment.wait_for_outcomes(callers)
         assert {caller.outcome for caller in callers} == {"answered"}
 
@@ -143,13 +145,13 @@
     """The error is a message without a traceback."""
 
     async def scenario(deployment: Deployment) -> None:
-        first = deployment.nodes[B1]
-        second = await deployment.restart(B1)
+        first = deployment.nodes[BALANCER_1]
+        second = await deployment.restart(BALANCER_1)
         assert second.process is not None
         assert await second.process.wait() == 2
-        log = (tmp_path / f"{B1}.log").read_text()
-        assert f"setting listen address is '{B1}:" in log
+        log = (tmp_path / f"{BALANCER_1}.log").read_text()
+        assert f"setting listen address is '{BALANCER_1}:" in log
         assert "Traceback" not in log
-        deployment.nodes[B1] = first
+        deployment.nodes[BALANCER_1] = first
 
     run_scenario(tmp_path, scenario)
